--- a/src/emulator/pool_emulator.cpp
+++ b/src/emulator/pool_emulator.cpp
@@ -79,8 +79,8 @@
         bool                   m_Busy = false;  // a pass is under way
         uint64_t               m_Life = 0;      // grows with each restart: events of an earlier life are void
         std::vector<TimePoint> m_ReportedAt;    // by router
-        PlacePromises          m_Places;        // promised by its box
-        PlaceLine              m_Line;          // of claims at its box
+        PlaceReservations      m_Places;        // promised by its box
+        PlaceQueue             m_Line;          // of claims at its box
         bool                   m_Polls = false; // the line is looked after
     };
 
@@ -122,7 +122,7 @@
     void                            SettleLine(size_t server);
     void                            OnGrant(const ClaimingPtr& c, size_t server, bool granted);
     void                            ReleaseAt(size_t server, uint64_t id);
-    PlacePromises&                  PlacesNow(size_t server); // as its box counts them after a look at its server
+    PlaceReservations&              PlacesNow(size_t server); // as its box counts them after a look at its server
     void                            Send(uint64_t id, const Choice& x);
     double                          Drawn(double mean);
     void                            Refuse(uint64_t id, Duration retry);
@@ -339,13 +339,13 @@
 RequestNeed Pool::NeedOf(const Caller& c) const
 {
     RequestNeed need;
-    need.m_Service       = &m_Service;
-    need.m_Goal          = FromSeconds(m_Kinds[c.m_Kind].m_GoalMs / 1000);
-    need.m_StrictestGoal = m_Strictest;
-    need.m_Left          = FromSeconds(m_Pattern.m_LimitS) - (m_Now - c.m_FirstAt);
-    need.m_Prompt        = c.m_Prompt;
-    need.m_Answer        = c.m_Answer;
-    need.m_CameBack      = c.m_Back && m_Pattern.m_KnowsBack > 0;
+    need.m_Service            = &m_Service;
+    need.m_Objective          = FromSeconds(m_Kinds[c.m_Kind].m_GoalMs / 1000);
+    need.m_StrictestObjective = m_Strictest;
+    need.m_TimeToDeadline     = FromSeconds(m_Pattern.m_LimitS) - (m_Now - c.m_FirstAt);
+    need.m_PromptTokens       = c.m_Prompt;
+    need.m_AnswerTokens       = c.m_Answer;
+    need.m_IsRetry            = c.m_Back && m_Pattern.m_KnowsBack > 0;
     return need;
 }
 
@@ -370,7 +370,7 @@
     for (const size_t s : a->m_Answered)
         known.emplace_back(m_Entries[s].m_Id);
     std::vector<size_t> asked;
-    for (const ServerEntry* e : m_Routers[c.m_Router].WhomToAsk(Candidates(), a->m_Need, known, m_Now))
+    for (const ServerEntry* e : m_Routers[c.m_Router].ServersToAsk(Candidates(), a->m_Need, known, m_Now))
         asked.push_back(static_cast<size_t>(e - m_Entries.data()));
     const size_t router = c.m_Router;
     for (const size_t s : asked)
@@ -392,25 +392,25 @@
     std::vector<const ServerEntry*> answered;
     for (const size_t s : a->m_Answered)
         answered.push_back(&m_Entries[s]);
-    ServerChoice& router = m_Routers[m_Callers.at(a->m_Id).m_Router];
-    RequestNeed   need   = a->m_Need;
-    need.m_Asked         = true;
-    const Choice best    = router.Best(answered, need, m_Now);
-    if (!asked.empty() && ++a->m_Round < kAskRounds && router.Scarce(best, need))
+    ServerChoice& router    = m_Routers[m_Callers.at(a->m_Id).m_Router];
+    RequestNeed   need      = a->m_Need;
+    need.m_FreshAnswersOnly = true;
+    const Choice best       = router.Best(answered, need, m_Now);
+    if (!asked.empty() && ++a->m_Round < kAskRounds && router.ShouldAskMore(best, need))
         return Ask(a);
-    if (m_View == PoolView_Claimed && router.PlacesScarce(best, need))
+    if (m_View == PoolView_Claimed && router.NeedsClaim(best, need))
         return Claim(a, best);
     const Choice x = router.Decide(best, need, m_Now);
     if (x.m_Server != nullptr)
     {
         const size_t s       = static_cast<size_t>(x.m_Server - m_Entries.data());
-        const double reading = ReadingMs(*m_Service.m_Engine, a->m_Need.m_Prompt);
+        const double reading = ReadingMs(*m_Service.m_Engine, a->m_Need.m_PromptTokens);
         At(m_Now + kAskWay, [this, s, reading] { m_Servers[s].m_Places.Take(reading, m_Now); });
     }
     Send(a->m_Id, x);
 }
 
-PlacePromises& Pool::PlacesNow(size_t server)
+PlaceReservations& Pool::PlacesNow(size_t server)
 {
     Server& s = m_Servers[server];
     s.m_Places.OnReport(s.m_Engine.Running(), s.m_Engine.Waiting(), m_Now, m_Now);
@@ -430,11 +430,11 @@
     ServerChoice& router = m_Routers[m_Callers.at(a->m_Id).m_Router];
     auto          c      = std::make_shared<Claiming>();
     c->m_Asking          = a;
-    c->m_Hoped           = router.WhomToClaim(answered, a->m_Need, m_Now);
+    c->m_Hoped           = router.ServersToClaim(answered, a->m_Need, m_Now);
     c->m_Open            = c->m_Hoped.size();
     if (c->m_Open == 0)
         return Send(a->m_Id, router.Refuse(best, a->m_Need, m_Now));
-    const Duration wait = router.LineWait(c->m_Hoped.front(), a->m_Need);
+    const Duration wait = router.ClaimQueueWait(c->m_Hoped.front(), a->m_Need);
     for (const Choice& hoped : c->m_Hoped)
         At(m_Now + kAskWay, [this, c, wait, s = IndexOf(hoped)] { ClaimAt(c, s, wait); });
 }
@@ -442,11 +442,11 @@
 void Pool::ClaimAt(const ClaimingPtr& c, size_t server, Duration wait)
 {
     const std::string key     = ClaimKey(server, c->m_Asking->m_Id);
-    const double      reading = ReadingMs(*m_Service.m_Engine, c->m_Asking->m_Need.m_Prompt);
+    const double      reading = ReadingMs(*m_Service.m_Engine, c->m_Asking->m_Need.m_PromptTokens);
     Server&           s       = m_Servers[server];
     const PlaceClaim  claim   = {key, m_Service.m_Engine->m_Slots, m_Now + wait, reading};
     const ClaimAnswer answer  = s.m_Line.Claim(claim, PlacesNow(server), m_Now);
-    if (answer != ClaimAnswer_Waits)
+    if (answer != ClaimAnswer_Queued)
         return At(m_Now + kAskWay, [this, c, server, answer] { OnGrant(c, server, answer == ClaimAnswer_Granted); });
     m_InLine[key] = c;
     if (!s.m_Polls)
@@ -499,7 +499,7 @@
             ReleaseAt(IndexOf(hoped), id);
     for (const Choice& hoped : c->m_Hoped)
         if (IndexOf(hoped) == server)
-            return Send(id, router.Granted(hoped, c->m_Asking->m_Need, m_Now));
+            return Send(id, router.OnClaimGranted(hoped, c->m_Asking->m_Need, m_Now));
 }
 
 void Pool::Refuse(uint64_t id, Duration retry)
--- a/src/programs/lab.cpp
+++ b/src/programs/lab.cpp
@@ -37,16 +37,17 @@
 
 const Mechanism kMechanisms[] = {
     {"back", "callers that came back are taken like first attempts",
-     [](ServerChoiceConfig& c) { c.m_Admission.m_BackShare = c.m_Admission.m_GoalShare; }},
-    {"strict", "callers that came back are taken late whatever is refused", [](ServerChoiceConfig& c) { c.m_Admission.m_StrictAt = 1e9; }},
+     [](ServerChoiceConfig& c) { c.m_Admission.m_StrictRetryShare = c.m_Admission.m_FirstAttemptShare; }},
+    {"strict", "callers that came back are taken late whatever is refused",
+     [](ServerChoiceConfig& c) { c.m_Admission.m_StrictAboveRefusedShare = 1e9; }},
     {"retry", "refusals ask for the shortest wait", [](ServerChoiceConfig& c) { c.m_Admission.m_RetryMax = c.m_Admission.m_RetryMin; }},
-    {"mean", "the server that looks best is believed", [](ServerChoiceConfig& c) { c.m_ToMean = 0; }},
-    {"others", "what other routers send isn't counted", [](ServerChoiceConfig& c) { c.m_OthersShare = 0; }},
-    {"line", "no claim stands in line", [](ServerChoiceConfig& c) { c.m_LineShare = 0; }},
-    {"many", "a place is claimed at one box", [](ServerChoiceConfig& c) { c.m_ClaimAtOnce = 1; }},
-    {"spare", "a place is claimed only when none is left", [](ServerChoiceConfig& c) { c.m_ClaimSpare = 1; }},
-    {"tie", "equal views choose alike", [](ServerChoiceConfig& c) { c.m_TieMs = 0; }},
-    {"far", "other data centres' servers cost no more", [](ServerChoiceConfig& c) { c.m_FarPenalty = Duration::zero(); }},
+    {"mean", "the server that looks best is believed", [](ServerChoiceConfig& c) { c.m_MeanInFlightWeight = 0; }},
+    {"others", "what other routers send isn't counted", [](ServerChoiceConfig& c) { c.m_OthersToBestShare = 0; }},
+    {"line", "no claim stands in line", [](ServerChoiceConfig& c) { c.m_QueueWaitMaxShare = 0; }},
+    {"many", "a place is claimed at one box", [](ServerChoiceConfig& c) { c.m_ClaimsAtOnce = 1; }},
+    {"spare", "a place is claimed only when none is left", [](ServerChoiceConfig& c) { c.m_MinFreeWithoutClaim = 1; }},
+    {"tie", "equal views choose alike", [](ServerChoiceConfig& c) { c.m_TieBreakMs = 0; }},
+    {"far", "other data centres' servers cost no more", [](ServerChoiceConfig& c) { c.m_RemotePenalty = Duration::zero(); }},
 };
 
 // False: no mechanism has that name.
--- a/src/request/direct_place.cpp
+++ b/src/request/direct_place.cpp
@@ -24,7 +24,7 @@
     if (!call.IsStream())
         return call.Left(now);
     const TimePoint heard = call.m_Events > 0 ? call.m_EventAt : call.m_StartedAt;
-    const Duration  left  = LongestPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap) - (now - heard) - kEventWay;
+    const Duration  left  = MaxToleratedPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap) - (now - heard) - kEventWay;
     return std::max<Duration>(left, milliseconds(1));
 }
 
@@ -40,18 +40,18 @@
 RequestNeed DirectServe::Impl::NeedOf(const Call& call, std::span<const WeightsDeadline> deadlines, TimePoint now)
 {
     RequestNeed need;
-    need.m_Service          = call.m_Service;
-    need.m_Goal             = call.m_Route->m_Goal;
-    need.m_StrictestGoal    = call.m_Routes->StrictestGoal(call.m_Service->m_Name);
-    need.m_Left             = call.Left(now);
-    need.m_Prompt           = call.m_Caller.m_Prompt;
-    need.m_Answer           = call.m_Caller.m_Answer;
-    need.m_CameBack         = call.m_Returned || !call.m_Tried.empty() || call.m_HeadSent;
-    need.m_WeightsDeadlines = deadlines;
-    need.m_Bears            = Bears(call, now);
-    need.m_Limits           = &m_Limits;
-    need.m_DataCentre       = m_Daemon.Settings().m_DataCentre;
-    need.m_Tried            = call.m_Tried;
+    need.m_Service            = call.m_Service;
+    need.m_Objective          = call.m_Route->m_Goal;
+    need.m_StrictestObjective = call.m_Routes->StrictestGoal(call.m_Service->m_Name);
+    need.m_TimeToDeadline     = call.Left(now);
+    need.m_PromptTokens       = call.m_Caller.m_Prompt;
+    need.m_AnswerTokens       = call.m_Caller.m_Answer;
+    need.m_IsRetry            = call.m_Returned || !call.m_Tried.empty() || call.m_HeadSent;
+    need.m_WeightsDeadlines   = deadlines;
+    need.m_ToleratedWait      = Bears(call, now);
+    need.m_Limits             = &m_Limits;
+    need.m_DataCentre         = m_Daemon.Settings().m_DataCentre;
+    need.m_Tried              = call.m_Tried;
     return need;
 }
 
@@ -73,7 +73,7 @@
 
 Choice DirectServe::Impl::BestAnswered(const Asking& a, RequestNeed need, TimePoint now)
 {
-    need.m_Asked = true;
+    need.m_FreshAnswersOnly = true;
     return m_Choice.Best(UsableOf(a), need, now);
 }
 
@@ -81,7 +81,7 @@
 awaitable<Choice> DirectServe::Impl::Claim(Call& call, const RequestNeed& need, const Asking& a)
 {
     const TimePoint           began = Now();
-    const std::vector<Choice> hoped = m_Choice.WhomToClaim(UsableOf(a), need, began);
+    const std::vector<Choice> hoped = m_Choice.ServersToClaim(UsableOf(a), need, began);
     if (hoped.empty())
         co_return m_Choice.Refuse(a.m_Best, need, began);
     std::vector<Endpoint> boxes;
@@ -89,7 +89,7 @@
     for (const Choice& c : hoped)
         boxes.push_back(BoxOf(*c.m_Server));
     const EngineCosts& costs   = *need.m_Service->m_Engine;
-    const PlaceWanted  wanted  = {costs.m_Slots, m_Choice.LineWait(hoped.front(), need), ReadingMs(costs, need.m_Prompt)};
+    const PlaceWanted  wanted  = {costs.m_Slots, m_Choice.ClaimQueueWait(hoped.front(), need), ReadingMs(costs, need.m_PromptTokens)};
     const ClaimOutcome outcome = co_await m_Places->Claim(boxes, wanted);
     const TimePoint    now     = Now();
     call.m_Claimed             = boxes.size();
@@ -101,7 +101,7 @@
         if (outcome.m_Granted && c.m_Server->m_Address.m_Address == *outcome.m_Granted && std::count(usable.begin(), usable.end(), c.m_Server) > 0)
         {
             call.m_Granted = true;
-            co_return m_Choice.Granted(c, need, now);
+            co_return m_Choice.OnClaimGranted(c, need, now);
         }
     co_return m_Choice.Refuse(hoped.front(), need, now);
 }
@@ -111,7 +111,7 @@
     const std::vector<const ServerEntry*> servers = m_World.m_Servers.Usable(call.m_Service->m_Name);
     std::vector<ServerEntry>              round;
     std::vector<Endpoint>                 boxes;
-    for (const ServerEntry* e : m_Choice.WhomToAsk(servers, need, a.m_Asked, Now()))
+    for (const ServerEntry* e : m_Choice.ServersToAsk(servers, need, a.m_Asked, Now()))
     {
         round.push_back(*e);
         boxes.push_back(BoxOf(*e));
@@ -127,7 +127,7 @@
         const auto answer = std::find_if(answers.begin(), answers.end(), of_box);
         if (answer == answers.end())
         {
-            m_Choice.OnSilent(e.Life(), now);
+            m_Choice.OnNoAnswer(e.Life(), now);
             continue;
         }
         m_Choice.OnReport({e.m_Id, answer->m_State.m_BornMs}, answer->m_State, now);
@@ -151,7 +151,7 @@
         {
             const size_t before = a.m_Asked.size();
             co_await AskRound(call, need, a);
-            if (a.m_Asked.size() == before || (!a.m_Answered.empty() && !m_Choice.Scarce(a.m_Best, need)))
+            if (a.m_Asked.size() == before || (!a.m_Answered.empty() && !m_Choice.ShouldAskMore(a.m_Best, need)))
                 break;
             if (a.m_Answered.empty() && round > 0)
                 break; // nobody answers: this router may be cut off, and more questions only take time
@@ -162,7 +162,7 @@
     }
     call.m_Granted    = false;
     call.m_Claimed    = 0;
-    const bool scarce = !a.m_Answered.empty() && m_Choice.PlacesScarce(a.m_Best, need);
+    const bool scarce = !a.m_Answered.empty() && m_Choice.NeedsClaim(a.m_Best, need);
     if (a.m_Answered.empty())
         call.m_Choice = m_Choice.Choose(m_World.m_Servers.Usable(call.m_Service->m_Name), need, Now());
     else if (scarce)
@@ -182,7 +182,7 @@
 {
     const std::vector<WeightsDeadline> deadlines = WeightsDeadlines(call);
     const RequestNeed                  need      = NeedOf(call, deadlines, Now());
-    call.m_CameBack                              = need.m_CameBack;
+    call.m_IsRetry                               = need.m_IsRetry;
     std::optional<ServerEntry> server            = co_await Place(call, need);
     if (!server && call.m_Service->m_Engine && call.m_Paused.empty()) // one whose server pauses doesn't come back: it is still here
         m_Returns.OnRefused(Now());
--- a/src/request/direct_serve.cpp
+++ b/src/request/direct_serve.cpp
@@ -272,7 +272,7 @@
 bool DirectServe::Impl::MayLookOn(const Call& call, TimePoint now) const
 {
     const bool refused = call.m_GivenUp == GivenUp_NoServer || call.m_GivenUp == GivenUp_Budget;
-    const bool bears   = now - call.m_EventAt < LongestPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap);
+    const bool bears   = now - call.m_EventAt < MaxToleratedPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap);
     return refused && bears && call.m_HeadSent && call.m_Paused.empty() && call.m_Route->MayRepeat() && call.Left(now) > kMinLeft + kLookLost;
 }
 
@@ -415,7 +415,7 @@
                                     {"granted", call.m_Granted},
                                     {"claim_ms", ToMsReal(call.m_ClaimTook)},
                                     {"goal_ms", call.m_Route != nullptr ? ToMs(call.m_Route->m_Goal) : -1},
-                                    {"came_back", call.m_CameBack},
+                                    {"came_back", call.m_IsRetry},
                                     {"prompt", call.m_Caller.m_Prompt},
                                     {"events", call.m_Events},
                                     {"first_ms", call.m_FirstAt == TimePoint{} ? -1 : ToMs(call.m_FirstAt - call.m_StartedAt)},
--- a/src/request/direct_serve_internal.h
+++ b/src/request/direct_serve_internal.h
@@ -99,7 +99,7 @@
     bool                          m_BrokenOff  = false;          // the answer was begun and ended before its end
     bool                          m_HeadSent   = false;          // the answer's head went to the caller
     bool                          m_Returned   = false;          // the caller is taken for one that was refused before
-    bool                          m_CameBack   = false;          // when it was last admitted: refused before, or tried elsewhere
+    bool                          m_IsRetry    = false;          // when it was last admitted: refused before, or tried elsewhere
     unsigned                      m_Events     = 0;              // streams: events passed on
     std::string                   m_LastEvent;                   // streams: id of the last event passed on, or where the caller asked to go on
     TimePoint                     m_FirstAt{};                   // when the first event or answer went to the caller
@@ -141,7 +141,7 @@
     ServerLimits                                        m_Limits{RandomSeed()};    // divided among all routers
     CrashDetector                                       m_CrashDetector;           //
     CrashHistory                                        m_CrashHistory;            // merged with the records of other routers
-    ReturnGuess                                         m_Returns;                 // of callers of model services
+    RetryEstimate                                       m_Returns;                 // of callers of model services
     std::map<std::string, std::unique_ptr<RetryBudget>> m_Budgets;                 // by service
     uint32_t                                            m_BudgetRouters = 0;       // routers that m_Budgets were built for; 0: assumed
     PlaceChannel*                                       m_Places        = nullptr; // null: boxes aren't asked
--- a/src/request/engine_prediction.cpp
+++ b/src/request/engine_prediction.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr double kWayMs        = 3;    // of a request and its first event between boxes
-constexpr double kReadShareMax = 0.8;  // of an engine's time
-constexpr double kFirstPasses  = 1.5;  // usual passes until a first event, besides reading: the rest of one, and one of steps
-constexpr double kNotZeroMs    = 1e-9; // keeps a quotient of times defined when nothing is in flight
+constexpr double kNetworkMs          = 3;    // of a request and its first event between boxes
+constexpr double kReadShareMax       = 0.8;  // of an engine's time
+constexpr double kPassesToFirstEvent = 1.5;  // usual passes until a first event, besides reading: the rest of one, and one of steps
+constexpr double kDivisorFloorMs     = 1e-9; // keeps a quotient of times defined when nothing is in flight
 
 // One token step of a batch.
 double StepMs(const EngineCosts& e, double writers)
@@ -26,14 +26,14 @@
     const double step  = StepMs(e, writers);
     const double read  = in_flight * e.m_UsualPrompt / e.m_ReadPerMs; // ms spent on reading, against writing, by what is in flight
     const double write = in_flight * e.m_UsualAnswer * step / std::max(1.0, writers);
-    const double share = read / (read + write + kNotZeroMs);
+    const double share = read / (read + write + kDivisorFloorMs);
     return step * e.m_StepsPerPass / (1 - std::min(share, kReadShareMax));
 }
 
 // Of the requests in a batch, the part whose prompts aren't read yet: as the time to a first event is to the whole time in the batch.
 double UnreadShare(const EngineCosts& e, double pass)
 {
-    const double first   = kFirstPasses * pass + e.m_UsualPrompt / e.m_ReadPerMs;
+    const double first   = kPassesToFirstEvent * pass + e.m_UsualPrompt / e.m_ReadPerMs;
     const double writing = e.m_UsualAnswer / e.m_StepsPerPass * pass;
     return first / (first + writing);
 }
@@ -52,8 +52,8 @@
 {
     const double in_batch = std::min<double>(load.m_InFlight, e.m_Slots);
     const double usual    = in_batch * UnreadShare(e, pass) * e.m_UsualPrompt;
-    const double own      = std::max(0.0, load.m_Unread - load.m_Waiting * e.m_UsualPrompt); // what waits for a slot isn't ahead
-    return std::max(usual, own) + load.m_Coming;
+    const double own      = std::max(0.0, load.m_OwnUnreadTokens - load.m_Waiting * e.m_UsualPrompt); // what waits for a slot isn't ahead
+    return std::max(usual, own) + load.m_OthersUnreadTokens;
 }
 
 } // namespace
@@ -66,10 +66,10 @@
     const double between = writers > 0 ? steps / e.m_ReadMax : 0; // steps between two reads, for each token read
     const double begun   = writers > 0 ? steps / 2 : 0;           // left of the pass under way
     const double guessed = UnreadTokens(e, load, pass) * (1 / e.m_ReadPerMs + between);
-    const double ahead   = load.m_KnownAheadMs >= 0 ? load.m_KnownAheadMs : guessed;
+    const double ahead   = load.m_ReportedUnreadMs >= 0 ? load.m_ReportedUnreadMs : guessed;
     const double pairs   = e.m_PairsPerMMs * prompt * prompt / 2 / 1e6;
     const double wait    = std::max(SlotWaitMs(e, load.m_InFlight, pass), begun + ahead);
-    return wait + prompt / e.m_ReadPerMs + pairs + steps + kWayMs;
+    return wait + prompt / e.m_ReadPerMs + pairs + steps + kNetworkMs;
 }
 
 double ReadingMs(const EngineCosts& e, double prompt)
--- a/src/request/engine_prediction.h
+++ b/src/request/engine_prediction.h
@@ -16,11 +16,11 @@
 
 struct EngineLoad // what is believed to be at one server
 {
-    double m_InFlight     = 0;  // requests, waiting ones included
-    double m_Waiting      = 0;  // of these, as reported: not in the batch yet
-    double m_Unread       = 0;  // prompt tokens of this router's requests that no event has answered yet
-    double m_Coming       = 0;  // further prompt tokens that other routers are believed to have sent
-    double m_KnownAheadMs = -1; // engine time until all prompts there are read, as its box counted it; negative: not known
+    double m_InFlight           = 0;  // requests, waiting ones included
+    double m_Waiting            = 0;  // of these, as reported: not in the batch yet
+    double m_OwnUnreadTokens    = 0;  // prompt tokens of this router's requests that no event has answered yet
+    double m_OthersUnreadTokens = 0;  // further prompt tokens that other routers are believed to have sent
+    double m_ReportedUnreadMs   = -1; // engine time until all prompts there are read, as its box counted it; negative: not known
 };
 
 double FirstEventMs(const EngineCosts& e, const EngineLoad& load, double prompt);
--- a/src/request/followed_boxes.cpp
+++ b/src/request/followed_boxes.cpp
@@ -32,7 +32,7 @@
     for (auto& [name, ranked] : far)
     {
         std::sort(ranked.begin(), ranked.end(), [](const Ranked& a, const Ranked& b) { return a.m_Rank < b.m_Rank; });
-        const size_t most  = std::max<size_t>(1, kFollowedFar / far.size());
+        const size_t most  = std::max<size_t>(1, kFollowedRemoteMax / far.size());
         const size_t taken = std::min(most, ranked.size());
         const double share = static_cast<double>(taken) / static_cast<double>(ranked.size());
         for (size_t i = 0; i < taken; i++)
--- a/src/request/followed_boxes.h
+++ b/src/request/followed_boxes.h
@@ -14,7 +14,7 @@
 namespace aldervale
 {
 
-constexpr size_t kFollowedFar = 24; // of all other data centres together: as many as a tenth of 240, which is more than ever spills over
+constexpr size_t kFollowedRemoteMax = 24; // of all other data centres together: as many as a tenth of 240, which is more than ever spills over
 
 struct KnownBox
 {
--- a/src/request/place_line.cpp
+++ b/src/request/place_line.cpp
@@ -5,69 +5,69 @@
 namespace aldervale
 {
 
-bool PlaceLine::Free(const PlaceClaim& claim, PlacePromises& places, TimePoint now) const
+bool PlaceQueue::IsFree(const PlaceClaim& claim, PlaceReservations& places, TimePoint now) const
 {
     const PlaceState s = places.State(now);
-    return s.m_Running + s.m_Waiting + s.m_Promised < claim.m_Most;
+    return s.m_Running + s.m_Waiting + s.m_Promised < claim.m_MaxRequests;
 }
 
-void PlaceLine::Give(const PlaceClaim& claim, PlacePromises& places, TimePoint now)
+void PlaceQueue::Grant(const PlaceClaim& claim, PlaceReservations& places, TimePoint now)
 {
     places.Take(claim.m_ReadingMs, now);
-    if (m_Given.size() >= m_Config.m_GivenMost)
-        m_Given.erase(m_Given.begin());
-    m_Given.push_back({claim.m_Key, claim.m_ReadingMs, now});
+    if (m_RecentGrants.size() >= m_Config.m_RememberedGrantsMax)
+        m_RecentGrants.erase(m_RecentGrants.begin());
+    m_RecentGrants.push_back({claim.m_Key, claim.m_ReadingMs, now});
 }
 
-ClaimAnswer PlaceLine::Claim(const PlaceClaim& claim, PlacePromises& places, TimePoint now)
+ClaimAnswer PlaceQueue::Claim(const PlaceClaim& claim, PlaceReservations& places, TimePoint now)
 {
-    if (m_Line.empty() && Free(claim, places, now))
+    if (m_Queue.empty() && IsFree(claim, places, now))
     {
-        Give(claim, places, now);
+        Grant(claim, places, now);
         return ClaimAnswer_Granted;
     }
-    if (claim.m_Until <= now || m_Line.size() >= m_Config.m_Most)
+    if (claim.m_QueuedUntil <= now || m_Queue.size() >= m_Config.m_QueueMax)
         return ClaimAnswer_Denied;
-    const auto later = std::find_if(m_Line.begin(), m_Line.end(), [&](const PlaceClaim& c) { return c.m_Until > claim.m_Until; });
-    m_Line.insert(later, claim);
-    return ClaimAnswer_Waits;
+    const auto later = std::find_if(m_Queue.begin(), m_Queue.end(), [&](const PlaceClaim& c) { return c.m_QueuedUntil > claim.m_QueuedUntil; });
+    m_Queue.insert(later, claim);
+    return ClaimAnswer_Queued;
 }
 
-std::vector<SettledClaim> PlaceLine::Settle(PlacePromises& places, TimePoint now)
+std::vector<SettledClaim> PlaceQueue::Settle(PlaceReservations& places, TimePoint now)
 {
     std::vector<SettledClaim> out;
-    while (!m_Line.empty())
+    while (!m_Queue.empty())
     {
-        const PlaceClaim first = m_Line.front();
-        const bool       over  = first.m_Until <= now;
-        if (!over && !Free(first, places, now))
+        const PlaceClaim first = m_Queue.front();
+        const bool       over  = first.m_QueuedUntil <= now;
+        if (!over && !IsFree(first, places, now))
             break;
         if (!over)
-            Give(first, places, now);
+            Grant(first, places, now);
         out.push_back({first, !over});
-        m_Line.erase(m_Line.begin());
+        m_Queue.erase(m_Queue.begin());
     }
     return out;
 }
 
-std::vector<SettledClaim> PlaceLine::DenyAll()
+std::vector<SettledClaim> PlaceQueue::DenyAll()
 {
     std::vector<SettledClaim> out;
-    for (const PlaceClaim& c : m_Line)
+    for (const PlaceClaim& c : m_Queue)
         out.push_back({c, false});
-    m_Line.clear();
+    m_Queue.clear();
     return out;
 }
 
-void PlaceLine::Release(const std::string& key, PlacePromises& places, TimePoint now)
+void PlaceQueue::Release(const std::string& key, PlaceReservations& places, TimePoint now)
 {
-    std::erase_if(m_Line, [&](const PlaceClaim& c) { return c.m_Key == key; });
-    const auto given = std::find_if(m_Given.begin(), m_Given.end(), [&](const Given& g) { return g.m_Key == key; });
-    if (given == m_Given.end())
+    std::erase_if(m_Queue, [&](const PlaceClaim& c) { return c.m_Key == key; });
+    const auto given = std::find_if(m_RecentGrants.begin(), m_RecentGrants.end(), [&](const RecentGrant& g) { return g.m_Key == key; });
+    if (given == m_RecentGrants.end())
         return;
-    if (now - given->m_At <= m_Config.m_GivenFor)
-        places.GiveBack(given->m_ReadingMs, given->m_At);
-    m_Given.erase(given);
+    if (now - given->m_GrantedAt <= m_Config.m_ReleaseWindow)
+        places.GiveBack(given->m_ReadingMs, given->m_GrantedAt);
+    m_RecentGrants.erase(given);
 }
 
 } // namespace aldervale
--- a/src/request/place_line.h
+++ b/src/request/place_line.h
@@ -15,9 +15,9 @@
 //   - The line is short: a server of 12 slots frees one in some 130 ms. Who can't be served within its time is told at once.
 //
 // Usage (src/version/place_answers.cpp):
-//   if (line.Claim(claim, places, now) == ClaimAnswer_Waits) ...
-//   for (const SettledClaim& s : line.Settle(places, now)) Tell(s.m_Claim, s.m_Granted);       // after each report
-//   line.Release(key, places, now);
+//   if (queue.Claim(claim, places, now) == ClaimAnswer_Queued) ...
+//   for (const SettledClaim& s : queue.Settle(places, now)) Tell(s.m_Claim, s.m_Granted);       // after each report
+//   queue.Release(key, places, now);
 
 #pragma once
 #include "request/place_promise.h"
@@ -26,26 +26,26 @@
 namespace aldervale
 {
 
-struct PlaceLineConfig
+struct PlaceQueueConfig
 {
-    size_t   m_Most      = 2;                // claims in line
-    Duration m_GivenFor  = milliseconds(50); // a grant can be given back for this long: as long as its place counts without a request
-    size_t   m_GivenMost = 64;               // grants remembered for that, the newest
+    size_t   m_QueueMax            = 2;                // claims in line
+    Duration m_ReleaseWindow       = milliseconds(50); // a grant can be given back for this long: as long as its place counts without a request
+    size_t   m_RememberedGrantsMax = 64;               // grants remembered for that, the newest
 };
 
 struct PlaceClaim
 {
-    std::string m_Key;           // of the claim, unique among routers
-    uint32_t    m_Most = 1;      // a place is free while fewer requests are there
-    TimePoint   m_Until{};       // stands in line until then
-    double      m_ReadingMs = 0; // engine time that its prompt takes to be read
+    std::string m_Key;             // of the claim, unique among routers
+    uint32_t    m_MaxRequests = 1; // a place is free while fewer requests are there
+    TimePoint   m_QueuedUntil{};   // stands in line until then
+    double      m_ReadingMs = 0;   // engine time that its prompt takes to be read
 };
 
 enum ClaimAnswer
 {
     ClaimAnswer_Granted, // the place is taken with it
     ClaimAnswer_Denied,  // there is none, and it doesn't stand in line
-    ClaimAnswer_Waits,   // stands in line
+    ClaimAnswer_Queued,  // stands in line
 };
 
 struct SettledClaim
@@ -54,31 +54,31 @@
     bool       m_Granted = false; //
 };
 
-class PlaceLine
+class PlaceQueue
 {
 public:
-    explicit PlaceLine(const PlaceLineConfig& cfg = {}) : m_Config(cfg) {}
+    explicit PlaceQueue(const PlaceQueueConfig& cfg = {}) : m_Config(cfg) {}
 
-    ClaimAnswer               Claim(const PlaceClaim& claim, PlacePromises& places, TimePoint now);
-    std::vector<SettledClaim> Settle(PlacePromises& places, TimePoint now); // those of the line that are granted now, or whose time is over
-    std::vector<SettledClaim> DenyAll();                                    // the server takes nothing now
-    void                      Release(const std::string& key, PlacePromises& places, TimePoint now);
-    bool                      Empty() const { return m_Line.empty(); }
+    ClaimAnswer               Claim(const PlaceClaim& claim, PlaceReservations& places, TimePoint now);
+    std::vector<SettledClaim> Settle(PlaceReservations& places, TimePoint now); // those of the line that are granted now, or whose time is over
+    std::vector<SettledClaim> DenyAll();                                        // the server takes nothing now
+    void                      Release(const std::string& key, PlaceReservations& places, TimePoint now);
+    bool                      Empty() const { return m_Queue.empty(); }
 
 private:
-    struct Given
+    struct RecentGrant
     {
         std::string m_Key;           //
         double      m_ReadingMs = 0; //
-        TimePoint   m_At{};          //
+        TimePoint   m_GrantedAt{};   //
     };
 
-    bool Free(const PlaceClaim& claim, PlacePromises& places, TimePoint now) const;
-    void Give(const PlaceClaim& claim, PlacePromises& places, TimePoint now);
+    bool IsFree(const PlaceClaim& claim, PlaceReservations& places, TimePoint now) const;
+    void Grant(const PlaceClaim& claim, PlaceReservations& places, TimePoint now);
 
-    PlaceLineConfig         m_Config; //
-    std::vector<PlaceClaim> m_Line;   // those that can wait least first; at most m_Config.m_Most
-    std::vector<Given>      m_Given;  // lately, the oldest first; at most m_Config.m_GivenMost
+    PlaceQueueConfig         m_Config;       //
+    std::vector<PlaceClaim>  m_Queue;        // those that can wait least first; at most m_Config.m_QueueMax
+    std::vector<RecentGrant> m_RecentGrants; // lately, the oldest first; at most m_Config.m_RememberedGrantsMax
 };
 
 } // namespace aldervale
--- a/src/request/place_promise.cpp
+++ b/src/request/place_promise.cpp
@@ -5,54 +5,54 @@
 namespace aldervale
 {
 
-void PlacePromises::Lapse(TimePoint now)
+void PlaceReservations::RemoveExpired(TimePoint now)
 {
-    std::erase_if(m_Taken, [&](TimePoint at) { return now - at > m_Config.m_LapseAfter; });
+    std::erase_if(m_ReservedAt, [&](TimePoint at) { return now - at > m_Config.m_ExpireAfter; });
 }
 
-void PlacePromises::OnReport(uint32_t running, uint32_t waiting, TimePoint asked_at, TimePoint now)
+void PlaceReservations::OnReport(uint32_t running, uint32_t waiting, TimePoint asked_at, TimePoint now)
 {
     m_Running = running;
     m_Waiting = waiting;
-    std::erase_if(m_Taken, [&](TimePoint at) { return asked_at - at >= m_Config.m_ArriveMax; });
-    Lapse(now);
-    if (m_Running + m_Waiting == 0 && m_Taken.empty())
-        m_ReadAt = now; // nothing is there, whatever was counted of requests that never came
+    std::erase_if(m_ReservedAt, [&](TimePoint at) { return asked_at - at >= m_Config.m_ArrivalMax; });
+    RemoveExpired(now);
+    if (m_Running + m_Waiting == 0 && m_ReservedAt.empty())
+        m_PromptsReadAt = now; // nothing is there, whatever was counted of requests that never came
 }
 
-PlaceState PlacePromises::State(TimePoint now)
+PlaceState PlaceReservations::State(TimePoint now)
 {
-    Lapse(now);
+    RemoveExpired(now);
     PlaceState s;
     s.m_Running  = m_Running;
     s.m_Waiting  = m_Waiting;
-    s.m_Promised = static_cast<uint32_t>(m_Taken.size());
-    s.m_UnreadMs = ToMsReal(std::max(Duration::zero(), m_ReadAt - now));
+    s.m_Promised = static_cast<uint32_t>(m_ReservedAt.size());
+    s.m_UnreadMs = ToMsReal(std::max(Duration::zero(), m_PromptsReadAt - now));
     return s;
 }
 
-void PlacePromises::Take(double reading_ms, TimePoint now)
+void PlaceReservations::Take(double reading_ms, TimePoint now)
 {
-    if (m_Taken.size() >= m_Config.m_Most)
-        m_Taken.erase(m_Taken.begin());
-    m_Taken.push_back(now);
-    m_ReadAt = std::max(m_ReadAt, now) + FromMs(reading_ms);
+    if (m_ReservedAt.size() >= m_Config.m_ReservationsMax)
+        m_ReservedAt.erase(m_ReservedAt.begin());
+    m_ReservedAt.push_back(now);
+    m_PromptsReadAt = std::max(m_PromptsReadAt, now) + FromMs(reading_ms);
 }
 
-void PlacePromises::GiveBack(double reading_ms, TimePoint taken_at)
+void PlaceReservations::GiveBack(double reading_ms, TimePoint taken_at)
 {
-    const auto taken = std::find(m_Taken.begin(), m_Taken.end(), taken_at);
-    if (taken != m_Taken.end()) // else a report took its place: that counts only what is there
-        m_Taken.erase(taken);
-    m_ReadAt -= FromMs(reading_ms);
+    const auto taken = std::find(m_ReservedAt.begin(), m_ReservedAt.end(), taken_at);
+    if (taken != m_ReservedAt.end()) // else a report took its place: that counts only what is there
+        m_ReservedAt.erase(taken);
+    m_PromptsReadAt -= FromMs(reading_ms);
 }
 
-void PlacePromises::Clear()
+void PlaceReservations::Clear()
 {
-    m_Taken.clear();
-    m_Running = 0;
-    m_Waiting = 0;
-    m_ReadAt  = {};
+    m_ReservedAt.clear();
+    m_Running       = 0;
+    m_Waiting       = 0;
+    m_PromptsReadAt = {};
 }
 
 } // namespace aldervale
--- a/src/request/place_promise.h
+++ b/src/request/place_promise.h
@@ -9,14 +9,14 @@
 //
 // How it counts:
 //   - A router asks a few boxes for their state, and takes a place at the best: it says so to that box with the request itself.
-//   - A place that was taken counts until a report shows its request: one that was asked for m_ArriveMax after it. Without reports it lapses
-//     after m_LapseAfter. Places that were only asked for don't count: at three questions of three boxes for a request they were twice as many
+//   - A place that was taken counts until a report shows its request: one that was asked for m_ArrivalMax after it. Without reports it lapses
+//     after m_ExpireAfter. Places that were only asked for don't count: at three questions of three boxes for a request they were twice as many
 //     as those taken, and callers were refused at servers with room.
 //   - The time that prompts take to be read is counted from the places taken: no report tells it. It passes by itself.
 //   - A place keeps nothing free at the server. The request itself is the offer, and the server may still refuse it.
 //
 // Usage (src/version/place_answers.cpp):
-//   PlacePromises p(config);
+//   PlaceReservations p(config);
 //   p.OnReport(running, waiting, asked_at, now);   // each report of the own server
 //   PlaceState s = p.State(now);                   // told to routers that ask
 //   p.Take(reading_ms, now);                       // one sends a request
@@ -29,11 +29,11 @@
 namespace aldervale
 {
 
-struct PlacePromisesConfig
+struct PlaceReservationsConfig
 {
-    Duration m_ArriveMax  = milliseconds(10); // from a place taken until its request is seen at the server: a connection and the way
-    Duration m_LapseAfter = milliseconds(50); // of a place that no report shows
-    size_t   m_Most       = 256;              // kept; the oldest lapse first. 5 requests a second are usual, and all lapse within m_LapseAfter
+    Duration m_ArrivalMax      = milliseconds(10); // from a place taken until its request is seen at the server: a connection and the way
+    Duration m_ExpireAfter     = milliseconds(50); // of a place that no report shows
+    size_t   m_ReservationsMax = 256;              // kept; the oldest lapse first. 5 requests a second are usual, and all lapse within m_ExpireAfter
 };
 
 struct PlaceState // of the own server
@@ -44,10 +44,10 @@
     double   m_UnreadMs = 0; // engine time until all prompts there are read
 };
 
-class PlacePromises
+class PlaceReservations
 {
 public:
-    explicit PlacePromises(const PlacePromisesConfig& cfg = {}) : m_Config(cfg) {}
+    explicit PlaceReservations(const PlaceReservationsConfig& cfg = {}) : m_Config(cfg) {}
 
     void       OnReport(uint32_t running, uint32_t waiting, TimePoint asked_at, TimePoint now);
     PlaceState State(TimePoint now);
@@ -56,13 +56,13 @@
     void       Clear();                                         // the server started again: it holds nothing
 
 private:
-    void Lapse(TimePoint now);
+    void RemoveExpired(TimePoint now);
 
-    PlacePromisesConfig    m_Config;      //
-    std::vector<TimePoint> m_Taken;       // places whose requests no report has shown, the oldest first; at most m_Config.m_Most
-    uint32_t               m_Running = 0; // as last reported
-    uint32_t               m_Waiting = 0; //
-    TimePoint              m_ReadAt{};    // when the prompts at the server are read, as counted
+    PlaceReservationsConfig m_Config;          //
+    std::vector<TimePoint>  m_ReservedAt;      // places whose requests no report has shown, the oldest first; at most m_Config.m_ReservationsMax
+    uint32_t                m_Running = 0;     // as last reported
+    uint32_t                m_Waiting = 0;     //
+    TimePoint               m_PromptsReadAt{}; // when the prompts at the server are read, as counted
 };
 
 } // namespace aldervale
--- a/src/request/replica_table.cpp
+++ b/src/request/replica_table.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-constexpr double kFailureHalf = 2.0; // seconds
-constexpr auto   kSentMemory  = seconds(60);
-constexpr size_t kSentMax     = 1024; // prefixes remembered per box
+constexpr double kFailureHalfLifeS = 2.0; // seconds
+constexpr auto   kSentPrefixTtl    = seconds(60);
+constexpr size_t kSentPrefixesMax  = 1024; // prefixes remembered per box
 
-bool IsFront(std::string_view slice) // the box of a replica that takes its requests
+bool TakesRequestsOfReplica(std::string_view slice) // the box of a replica that takes its requests
 {
     const std::string_view whole = WholeDigest(slice);
     return whole == slice || slice.substr(whole.size()).starts_with("~0-");
@@ -110,14 +110,14 @@
         return false;
     if (q.m_Digests.empty())
         return true;
-    if (!q.m_Digests.contains(std::string(WholeDigest(r.m_Active))) || r.m_GroupClosed || !IsFront(r.m_Active))
+    if (!q.m_Digests.contains(std::string(WholeDigest(r.m_Active))) || r.m_GroupClosed || !TakesRequestsOfReplica(r.m_Active))
         return false;
     return q.m_Adapter.empty() || r.m_Adapters.contains(q.m_Adapter);
 }
 
 double ReplicaTable::DecayedFailures(const Replica& r, TimePoint now)
 {
-    return r.m_Failures <= 0 ? 0 : r.m_Failures * std::exp2(-ToSeconds(now - r.m_FailureAt) / kFailureHalf);
+    return r.m_Failures <= 0 ? 0 : r.m_Failures * std::exp2(-ToSeconds(now - r.m_FailureAt) / kFailureHalfLifeS);
 }
 
 ReplicaView ReplicaTable::ViewOf(const Replica& r, const ReplicaQuery& q, const std::string& own_region, const ConfigSnapshot& c, TimePoint now) const
@@ -131,8 +131,8 @@
     v.m_UsableFor = now - r.m_UsableSince;
     if (q.m_Prefix != 0)
     {
-        const auto sent = r.m_Sent.find(q.m_Prefix);
-        v.m_Warm        = r.m_Warm.contains(q.m_Prefix) || (sent != r.m_Sent.end() && now - sent->second < kSentMemory);
+        const auto sent = r.m_SentPrefixes.find(q.m_Prefix);
+        v.m_Warm        = r.m_Warm.contains(q.m_Prefix) || (sent != r.m_SentPrefixes.end() && now - sent->second < kSentPrefixTtl);
     }
     return v;
 }
@@ -150,16 +150,16 @@
         views.push_back(ViewOf(r, q, own_region, c, now));
         names.push_back(&name);
     }
-    const std::optional<size_t> best = ChooseReplica(views, m_Config, m_Random, m_Turn++);
+    const std::optional<size_t> best = ChooseReplica(views, m_Config, m_Random, m_ChoiceCount++);
     if (!best)
         return std::nullopt;
     Replica& r = m_Replicas[*names[*best]];
     r.m_InFlight++;
     if (q.m_Prefix != 0)
     {
-        if (r.m_Sent.size() >= kSentMax)
-            std::erase_if(r.m_Sent, [&](const auto& s) { return now - s.second > kSentMemory / 4; });
-        r.m_Sent[q.m_Prefix] = now;
+        if (r.m_SentPrefixes.size() >= kSentPrefixesMax)
+            std::erase_if(r.m_SentPrefixes, [&](const auto& s) { return now - s.second > kSentPrefixTtl / 4; });
+        r.m_SentPrefixes[q.m_Prefix] = now;
     }
     return Chosen{std::string(WholeDigest(r.m_Active)), *names[*best], r.m_Link};
 }
--- a/src/request/replica_table.h
+++ b/src/request/replica_table.h
@@ -62,9 +62,9 @@
         double                        m_Reported = 0;        // running and queued by its last report
         TimePoint                     m_ReportAt{};          // when that was true
         std::set<uint64_t>            m_Warm;                // prefixes by its last report
-        std::map<uint64_t, TimePoint> m_Sent;                // prefixes that this router sent there lately
+        std::map<uint64_t, TimePoint> m_SentPrefixes;        // prefixes that this router sent there lately
         unsigned                      m_InFlight = 0;        // of this router
-        double                        m_Failures = 0;        // decays by half every m_FailureHalf
+        double                        m_Failures = 0;        // decays by half every kFailureHalfLifeS
         TimePoint                     m_FailureAt{};         //
         TimePoint                     m_UsableSince{};       // when the active version changed last
         json::array                   m_Versions;            // for Describe()
@@ -78,10 +78,10 @@
     const RouteConfig m_Config;     //
     const std::string m_DataCentre; // own
 
-    mutable std::mutex             m_Mutex;    // guards the members below
-    std::map<std::string, Replica> m_Replicas; // by box
-    Random                         m_Random;   //
-    uint64_t                       m_Turn = 0; // requests chosen for
+    mutable std::mutex             m_Mutex;           // guards the members below
+    std::map<std::string, Replica> m_Replicas;        // by box
+    Random                         m_Random;          //
+    uint64_t                       m_ChoiceCount = 0; // requests chosen for
 };
 
 } // namespace aldervale
--- a/src/request/return_guess.cpp
+++ b/src/request/return_guess.cpp
@@ -4,29 +4,29 @@
 namespace aldervale
 {
 
-double ReturnGuess::WrongShare() const
+double RetryEstimate::WrongShare() const
 {
-    return m_Calm > 0 ? m_Wrong / m_Calm : 0;
+    return m_CalmAttempts > 0 ? m_WrongAttempts / m_CalmAttempts : 0;
 }
 
-bool ReturnGuess::Trusted() const
+bool RetryEstimate::Trusted() const
 {
-    return m_Calm >= m_Config.m_Least && WrongShare() < m_Config.m_WrongMost;
+    return m_CalmAttempts >= m_Config.m_CalmAttemptsMin && WrongShare() < m_Config.m_WrongShareMax;
 }
 
-void ReturnGuess::CountCalm(bool shorter)
+void RetryEstimate::RecordCalmAttempt(bool shorter)
 {
-    const double keep = 1 - 1 / m_Config.m_Most;
-    m_Calm            = m_Calm * keep + 1;
-    m_Wrong           = m_Wrong * keep + (shorter ? 1 : 0);
+    const double keep = 1 - 1 / m_Config.m_CalmAttemptsMax;
+    m_CalmAttempts    = m_CalmAttempts * keep + 1;
+    m_WrongAttempts   = m_WrongAttempts * keep + (shorter ? 1 : 0);
 }
 
-bool ReturnGuess::OnAttempt(Duration limit, Duration left, TimePoint now)
+bool RetryEstimate::OnAttempt(Duration limit, Duration left, TimePoint now)
 {
-    const bool shorter = left + m_Config.m_Slack < limit;
-    const bool calm    = m_RefusedAt == TimePoint{} || now - m_RefusedAt >= m_Config.m_CalmFor;
+    const bool shorter = left + m_Config.m_TransitAllowance < limit;
+    const bool calm    = m_RefusedAt == TimePoint{} || now - m_RefusedAt >= m_Config.m_CalmAfterRefusal;
     if (calm)
-        CountCalm(shorter);
+        RecordCalmAttempt(shorter);
     return shorter && Trusted();
 }
 
--- a/src/request/route_choice.cpp
+++ b/src/request/route_choice.cpp
@@ -22,7 +22,7 @@
 double RouteCost(const ReplicaView& v, const RouteConfig& cfg)
 {
     const double own    = v.m_InFlight;
-    const double others = std::max(0.0, v.m_Reported - own) * std::exp(-ToSeconds(v.m_ReportAge) / cfg.m_AgeScale);
+    const double others = std::max(0.0, v.m_Reported - own) * std::exp(-ToSeconds(v.m_ReportAge) / cfg.m_ReportAgeScaleS);
     double       cost   = own + others + cfg.m_DistanceCost * v.m_Distance + cfg.m_FailureCost * v.m_Failures;
     if (v.m_UsableFor < cfg.m_SlowStart)
         cost += cfg.m_SlowStartCost * (1.0 - ToSeconds(v.m_UsableFor) / ToSeconds(cfg.m_SlowStart));
@@ -49,7 +49,7 @@
     return best;
 }
 
-std::optional<size_t> ChooseReplica(std::span<const ReplicaView> views, const RouteConfig& cfg, Random& random, uint64_t turn)
+std::optional<size_t> ChooseReplica(std::span<const ReplicaView> views, const RouteConfig& cfg, Random& random, uint64_t request_count)
 {
     if (views.empty())
         return std::nullopt;
@@ -58,7 +58,7 @@
     case RoutePolicy_Random:
         return Pick(random, views.size());
     case RoutePolicy_RoundRobin:
-        return static_cast<size_t>(turn % views.size());
+        return static_cast<size_t>(request_count % views.size());
     case RoutePolicy_LeastRequests:
         return LeastRequests(views, random);
     case RoutePolicy_Cost:
--- a/src/request/route_choice.h
+++ b/src/request/route_choice.h
@@ -41,18 +41,18 @@
 
 struct RouteConfig
 {
-    RoutePolicy m_Policy        = RoutePolicy_Cost; // [settings route.policy]
-    unsigned    m_Choices       = 2;                // random candidates [settings route.choices]
-    double      m_AgeScale      = 0.5;              // seconds after which a report counts 1/e
-    double      m_DistanceCost  = 2.0;              // requests' worth per step of distance
-    double      m_WarmBonus     = 6.0;              // requests' worth of a warm prefix
-    double      m_FailureCost   = 8.0;              // per recent failure
-    Duration    m_SlowStart     = seconds(3);       // a new replica's cost falls to normal over this time
-    double      m_SlowStartCost = 8.0;              // at its beginning
+    RoutePolicy m_Policy          = RoutePolicy_Cost; // [settings route.policy]
+    unsigned    m_Choices         = 2;                // random candidates [settings route.choices]
+    double      m_ReportAgeScaleS = 0.5;              // seconds after which a report counts 1/e
+    double      m_DistanceCost    = 2.0;              // requests' worth per step of distance
+    double      m_WarmBonus       = 6.0;              // requests' worth of a warm prefix
+    double      m_FailureCost     = 8.0;              // per recent failure
+    Duration    m_SlowStart       = seconds(3);       // a new replica's cost falls to normal over this time
+    double      m_SlowStartCost   = 8.0;              // at its beginning
 };
 
 double                RouteCost(const ReplicaView& v, const RouteConfig& cfg);
 std::optional<size_t> ChooseReplica(std::span<const ReplicaView> views, const RouteConfig& cfg, Random& random,
-                                    uint64_t turn); // turn: counts requests
+                                    uint64_t request_count); // request_count: counts requests
 
 } // namespace aldervale
--- a/src/request/server_prediction.cpp
+++ b/src/request/server_prediction.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr double kPlainUsualMs = 50;  // of a plain service's answer before one was seen
-constexpr double kOthersMax    = 200; // requests of other routers that are handed out in thought; more than that says nothing new
+constexpr double kPlainDefaultMs    = 50;  // of a plain service's answer before one was seen
+constexpr double kOthersRequestsMax = 200; // requests of other routers that are handed out in thought; more than that says nothing new
 
 } // namespace
 
@@ -21,17 +21,17 @@
 double ServerChoice::InFlight(const Option& o, TimePoint now) const
 {
     const Server& s = *o.m_Server;
-    if (!Fresh(s, now))
-        return s.m_InFlight * m_Config.m_BlindFactor;
-    if (Answered(s, now))
+    if (!HasFreshReport(s, now))
+        return s.m_InFlight * m_Config.m_NoReportFactor;
+    if (HasFreshAnswer(s, now))
         return static_cast<double>(s.m_Report.m_Running) + s.m_Report.m_Waiting + s.m_Report.m_Promised;
-    const double reported = static_cast<double>(s.m_Report.m_Running) + s.m_Report.m_Waiting + s.m_SentSince - s.m_EndedSince;
-    return std::max<double>(s.m_InFlight, reported) + o.m_Others;
+    const double reported = static_cast<double>(s.m_Report.m_Running) + s.m_Report.m_Waiting + s.m_SentSinceReport - s.m_EndedSinceReport;
+    return std::max<double>(s.m_InFlight, reported) + o.m_OthersInFlight;
 }
 
 // Gives what others sent at `sent_at` to the server that looks best. What was sent before a server's report is in that report, so only
 // servers with older reports take it, for their share of it.
-void ServerChoice::HandOut(std::span<Option* const> fresh, double requests, TimePoint sent_at, const RequestNeed& need, TimePoint now) const
+void ServerChoice::AssignToBest(std::span<Option* const> fresh, double requests, TimePoint sent_at, const RequestNeed& need, TimePoint now) const
 {
     Option* best     = nullptr;
     double  eligible = 0;
@@ -40,32 +40,32 @@
         if (o->m_Server->m_ReportAt > sent_at)
             continue;
         eligible += 1;
-        if (best == nullptr || o->m_Ms < best->m_Ms)
+        if (best == nullptr || o->m_PredictedMs < best->m_PredictedMs)
             best = o;
     }
     if (best == nullptr)
         return;
-    best->m_Others += requests * eligible / static_cast<double>(fresh.size());
-    best->m_Unread = best->m_Others;
-    best->m_Ms     = PredictModel(*best, need, now);
+    best->m_OthersInFlight += requests * eligible / static_cast<double>(fresh.size());
+    best->m_OthersUnread = best->m_OthersInFlight;
+    best->m_PredictedMs  = PredictModel(*best, need, now);
 }
 
 // Hands out what the others have sent since the oldest report, a request at a time, each to the server that looked best then.
-void ServerChoice::FillWithOthers(std::span<Option> options, double rate, const RequestNeed& need, TimePoint now) const
+void ServerChoice::AssignOthers(std::span<Option> options, double rate, const RequestNeed& need, TimePoint now) const
 {
     std::vector<Option*> fresh;
     double               oldest_s = 0;
     for (Option& o : options)
     {
-        if (!Fresh(*o.m_Server, now))
+        if (!HasFreshReport(*o.m_Server, now))
             continue;
-        o.m_Ms = PredictModel(o, need, now);
+        o.m_PredictedMs = PredictModel(o, need, now);
         fresh.push_back(&o);
         oldest_s = std::max(oldest_s, ToSeconds(now - o.m_Server->m_ReportAt));
     }
-    rate /= options.front().m_Stands; // the others send to those that weren't drawn, too
-    for (double left = std::min(rate * oldest_s, kOthersMax); left > 0; left -= 1)
-        HandOut(fresh, std::min(1.0, left), now - FromSeconds(left / rate), need, now);
+    rate /= options.front().m_SampledFrom; // the others send to those that weren't drawn, too
+    for (double left = std::min(rate * oldest_s, kOthersRequestsMax); left > 0; left -= 1)
+        AssignToBest(fresh, std::min(1.0, left), now - FromSeconds(left / rate), need, now);
 }
 
 std::vector<std::span<ServerChoice::Option>> ServerChoice::ByDataCentre(std::vector<Option>& options)
@@ -82,7 +82,7 @@
 }
 
 // Routers send to their own data centre's servers before others, and are taken to be spread evenly over the data centres.
-void ServerChoice::SpreadOthers(std::vector<Option>& options, const RequestNeed& need, TimePoint now) const
+void ServerChoice::EstimateOthers(std::vector<Option>& options, const RequestNeed& need, TimePoint now) const
 {
     if (m_Routers < 2 || options.empty())
         return;
@@ -91,7 +91,7 @@
     {
         const bool   near   = here.front().m_Entry->m_DataCentre == need.m_DataCentre;
         const double others = m_Routers / static_cast<double>(data_centres.size()) - (near ? 1 : 0); // this router isn't one of them
-        FillWithOthers(here, m_Config.m_OthersShare * m_SentRate * std::max(0.0, others), need, now);
+        AssignOthers(here, m_Config.m_OthersToBestShare * m_SentPerSecond * std::max(0.0, others), need, now);
     }
 }
 
@@ -103,23 +103,23 @@
 {
     const Server&      s     = *o.m_Server;
     const EngineCosts& e     = *need.m_Service->m_Engine;
-    const bool         fresh = Fresh(s, now);
+    const bool         fresh = HasFreshReport(s, now);
     EngineLoad         load;
     load.m_InFlight = InFlight(o, now);
-    if (need.m_Granted)
+    if (need.m_AssumeFreePlace)
         load.m_InFlight = std::min<double>(load.m_InFlight, std::max(1u, e.m_Slots) - 1);
-    load.m_Waiting = fresh ? s.m_Report.m_Waiting : 0;
-    load.m_Unread  = s.m_Unread;
-    load.m_Coming  = o.m_Unread * e.m_UsualPrompt;
-    if (Answered(s, now))
-        load.m_KnownAheadMs = s.m_Report.m_UnreadMs;
-    return FirstEventMs(e, load, need.m_Prompt) * (fresh ? std::max<double>(1, s.m_Report.m_Pace) : 1);
+    load.m_Waiting            = fresh ? s.m_Report.m_Waiting : 0;
+    load.m_OwnUnreadTokens    = s.m_UnreadTokens;
+    load.m_OthersUnreadTokens = o.m_OthersUnread * e.m_UsualPrompt;
+    if (HasFreshAnswer(s, now))
+        load.m_ReportedUnreadMs = s.m_Report.m_UnreadMs;
+    return FirstEventMs(e, load, need.m_PromptTokens) * (fresh ? std::max<double>(1, s.m_Report.m_Pace) : 1);
 }
 
 double ServerChoice::PredictPlain(const Option& o) const
 {
-    const double mean  = o.m_Server->m_MeanMs > 0 ? o.m_Server->m_MeanMs : kPlainUsualMs;
-    const double ahead = o.m_Server->m_InFlight * m_Config.m_BlindFactor;
+    const double mean  = o.m_Server->m_MeanAnswerMs > 0 ? o.m_Server->m_MeanAnswerMs : kPlainDefaultMs;
+    const double ahead = o.m_Server->m_InFlight * m_Config.m_NoReportFactor;
     return mean * (1 + ahead / std::max(1u, o.m_Entry->m_Slots));
 }
 
@@ -130,7 +130,7 @@
 
 // Requests at the mean server beyond those believed at this one. Of many servers with uncertain counts the one that looks best mostly has
 // more than it seems.
-double ServerChoice::BelowMean(const Option& chosen, std::span<const Option> options, TimePoint now) const
+double ServerChoice::InFlightBelowMean(const Option& chosen, std::span<const Option> options, TimePoint now) const
 {
     double sum = 0;
     for (const Option& o : options)
@@ -142,10 +142,10 @@
 // servers apart; as a reason to refuse they turned callers away that would have been in time.
 double ServerChoice::PredictAdmitted(const Option& chosen, std::span<const Option> options, const RequestNeed& need, TimePoint now) const
 {
-    Option o   = chosen;
-    o.m_Unread = 0;
-    if (need.m_Service->m_Engine && !need.m_Asked)
-        o.m_Others += m_Config.m_ToMean * BelowMean(chosen, options, now);
+    Option o         = chosen;
+    o.m_OthersUnread = 0;
+    if (need.m_Service->m_Engine && !need.m_FreshAnswersOnly)
+        o.m_OthersInFlight += m_Config.m_MeanInFlightWeight * InFlightBelowMean(chosen, options, now);
     return Predict(o, need, now);
 }
 
--- a/src/version/place_answers.cpp
+++ b/src/version/place_answers.cpp
@@ -60,7 +60,7 @@
     const PlaceClaim  wanted = {key, claim.m_Claim.m_Most, claim.m_HeardAt + claim.m_Claim.m_Wait, claim.m_Claim.m_ReadingMs};
     const ClaimAnswer answer = m_Line.Claim(wanted, m_Places, now);
     (answer == ClaimAnswer_Granted ? granted : answer == ClaimAnswer_Denied ? denied : waits).Add(1);
-    if (answer != ClaimAnswer_Waits)
+    if (answer != ClaimAnswer_Queued)
         return m_Publisher.Grant(claim.m_Claim.m_Question, answer == ClaimAnswer_Granted);
     m_InLine[key] = claim.m_Claim.m_Question;
     m_WantReport();
--- a/src/version/place_answers.h
+++ b/src/version/place_answers.h
@@ -1,7 +1,7 @@
 // aldervale: answers routers that ask a box for a place at its model server, or claim one
 //
-// The shell around PlacePromises and PlaceLine: takes questions from the load channel, has the own server's report read again where the last one is
-// older than kFreshReport, and answers. A question that waited for longer than kAskKept is dropped: its router went by reports.
+// The shell around PlaceReservations and PlaceQueue: takes questions from the load channel, has the own server's report read again where the last one
+// is older than kFreshReport, and answers. A question that waited for longer than kAskKept is dropped: its router went by reports.
 //
 // Usage (src/version/weight_keeper.cpp):
 //   PlaceAnswers answers(publisher, [this] { m_Wake.cancel(); });
@@ -52,8 +52,8 @@
 
     LoadPublisher&          m_Publisher;  //
     std::function<void()>   m_WantReport; // soon
-    PlacePromises           m_Places;     //
-    PlaceLine               m_Line;       //
+    PlaceReservations       m_Places;     //
+    PlaceQueue              m_Line;       //
     LoadReport              m_Load;       // as last reported
     TimePoint               m_AskedAt{};  // when that report was asked for; default: there was none
     std::vector<Waiting>    m_Waiting;    // for a report; each less than kAskKept
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -12,9 +12,9 @@
 AdmissionNeed Need(bool came_back)
 {
     AdmissionNeed n;
-    n.m_Goal     = milliseconds(400);
-    n.m_Left     = seconds(6);
-    n.m_CameBack = came_back;
+    n.m_StrictestObjective = milliseconds(400);
+    n.m_TimeToDeadline     = seconds(6);
+    n.m_IsRetry            = came_back;
     return n;
 }
 
@@ -23,7 +23,7 @@
 {
     Admission a({});
     for (unsigned i = 1; i <= 200; i++)
-        a.OnFirst(nth_refused > 0 && i % nth_refused == 0, kStart + milliseconds(20) * static_cast<int>(i));
+        a.OnFirstAttempt(nth_refused > 0 && i % nth_refused == 0, kStart + milliseconds(20) * static_cast<int>(i));
     return a;
 }
 
@@ -33,19 +33,19 @@
 {
     const AdmissionConfig cfg;
     const Admission       a(cfg);
-    const Duration        most = FromSeconds(0.4 * cfg.m_GoalShare);
-    BOOST_TEST(a.Takes(Need(false), most));
-    BOOST_TEST(!a.Takes(Need(false), most + milliseconds(1)));
+    const Duration        most = FromSeconds(0.4 * cfg.m_FirstAttemptShare);
+    BOOST_TEST(a.Admits(Need(false), most));
+    BOOST_TEST(!a.Admits(Need(false), most + milliseconds(1)));
 }
 
 BOOST_AUTO_TEST_CASE(a_caller_that_came_back_is_taken_late_while_few_are_refused_and_only_with_room_to_spare_while_many_are)
 {
     const AdmissionConfig cfg;
-    BOOST_TEST(After(0).Takes(Need(true), cfg.m_LateMax));
+    BOOST_TEST(After(0).Admits(Need(true), cfg.m_LenientRetryMax));
     const Admission busy = After(2);
-    BOOST_TEST(!busy.Takes(Need(true), milliseconds(400)));
-    BOOST_TEST(!busy.Takes(Need(true), FromSeconds(0.4 * cfg.m_GoalShare)));
-    BOOST_TEST(busy.Takes(Need(true), FromSeconds(0.4 * cfg.m_BackShare)));
+    BOOST_TEST(!busy.Admits(Need(true), milliseconds(400)));
+    BOOST_TEST(!busy.Admits(Need(true), FromSeconds(0.4 * cfg.m_FirstAttemptShare)));
+    BOOST_TEST(busy.Admits(Need(true), FromSeconds(0.4 * cfg.m_StrictRetryShare)));
 }
 
 // Streams that had begun were broken off in calm seconds: their servers were told to start other weights and cut what still ran, and no other server
@@ -56,26 +56,26 @@
 {
     const Admission busy = After(2);
     AdmissionNeed   need = Need(true);
-    need.m_Bears         = milliseconds(1500);
-    BOOST_TEST(busy.Takes(need, milliseconds(1500)));
-    BOOST_TEST(!busy.Takes(need, milliseconds(1501)));
-    need.m_Left = milliseconds(700); // nobody waits past the deadline
-    BOOST_TEST(!busy.Takes(need, milliseconds(1000)));
+    need.m_ToleratedWait = milliseconds(1500);
+    BOOST_TEST(busy.Admits(need, milliseconds(1500)));
+    BOOST_TEST(!busy.Admits(need, milliseconds(1501)));
+    need.m_TimeToDeadline = milliseconds(700); // nobody waits past the deadline
+    BOOST_TEST(!busy.Admits(need, milliseconds(1000)));
 }
 
 BOOST_AUTO_TEST_CASE(callers_bear_the_longest_of_two_seconds_and_multiples_of_objective_and_pause)
 {
-    BOOST_TEST((LongestPause(milliseconds(400), milliseconds(200)) == seconds(2)));
-    BOOST_TEST((LongestPause(milliseconds(600), milliseconds(200)) == milliseconds(2400)));
-    BOOST_TEST((LongestPause(milliseconds(600), milliseconds(400)) == milliseconds(3200)));
+    BOOST_TEST((MaxToleratedPause(milliseconds(400), milliseconds(200)) == seconds(2)));
+    BOOST_TEST((MaxToleratedPause(milliseconds(600), milliseconds(200)) == milliseconds(2400)));
+    BOOST_TEST((MaxToleratedPause(milliseconds(600), milliseconds(400)) == milliseconds(3200)));
 }
 
 BOOST_AUTO_TEST_CASE(a_single_refusal_is_no_overload)
 {
     Admission a({});
-    a.OnFirst(true, kStart);
+    a.OnFirstAttempt(true, kStart);
     BOOST_TEST(a.RefusedShare() < 0.05);
-    BOOST_TEST(a.Takes(Need(true), milliseconds(600)));
+    BOOST_TEST(a.Admits(Need(true), milliseconds(600)));
 }
 
 BOOST_AUTO_TEST_CASE(the_share_of_refusals_fades_when_the_overload_has_passed)
@@ -84,7 +84,7 @@
     const double    then = a.RefusedShare();
     const TimePoint end  = kStart + seconds(4);
     for (int i = 1; i <= 250; i++)
-        a.OnFirst(false, end + milliseconds(20) * i);
+        a.OnFirstAttempt(false, end + milliseconds(20) * i);
     BOOST_TEST(a.RefusedShare() < then / 5);
 }
 
@@ -96,11 +96,11 @@
                            const AdmissionConfig cfg;
                            const Admission       a    = After(*rc::gen::inRange(0u, 5u));
                            AdmissionNeed         need = Need(*rc::gen::arbitrary<bool>());
-                           need.m_Left                = milliseconds(*rc::gen::inRange(0, 20'000));
+                           need.m_TimeToDeadline      = milliseconds(*rc::gen::inRange(0, 20'000));
                            const Duration predicted   = milliseconds(*rc::gen::inRange(0, 10'000));
                            const double   random      = *rc::gen::inRange(0, 1000) / 1000.0;
                            const Duration wait        = a.RetryAfter(need, predicted, random);
-                           const Duration longest     = FromSeconds(ToSeconds(need.m_Left) * cfg.m_RetryShare);
+                           const Duration longest     = FromSeconds(ToSeconds(need.m_TimeToDeadline) * cfg.m_RetryShare);
                            RC_ASSERT(wait >= cfg.m_RetryMin);
                            RC_ASSERT(wait <= cfg.m_RetryMax);
                            RC_ASSERT(wait <= std::max(longest, cfg.m_RetryMin) + milliseconds(1));
--- a/tests/test_load_patterns.cpp
+++ b/tests/test_load_patterns.cpp
@@ -100,10 +100,10 @@
 {
     const LoadPattern  p = Pattern("lasting_overload");
     ServerChoiceConfig alike;
-    alike.m_Admission.m_BackShare = alike.m_Admission.m_GoalShare;
+    alike.m_Admission.m_StrictRetryShare = alike.m_Admission.m_FirstAttemptShare;
     ServerChoiceConfig lenient;
-    lenient.m_Admission.m_StrictAt = 1e9;
-    const double with              = Credit(p, {});
+    lenient.m_Admission.m_StrictAboveRefusedShare = 1e9;
+    const double with                             = Credit(p, {});
     BOOST_TEST(with > Credit(p, alike) + 0.08);
     BOOST_TEST(with > Credit(p, lenient) + 0.25);
 }
@@ -113,7 +113,7 @@
 {
     const LoadPattern  p = Pattern("lasting_overload");
     ServerChoiceConfig best;
-    best.m_ToMean = 0;
+    best.m_MeanInFlightWeight = 0;
     BOOST_TEST(Credit(p, {}) > Credit(p, best) + 0.02);
 }
 
@@ -122,7 +122,7 @@
 {
     const LoadPattern  p = Pattern("no_server");
     ServerChoiceConfig alike;
-    alike.m_Admission.m_BackShare = alike.m_Admission.m_GoalShare;
+    alike.m_Admission.m_StrictRetryShare = alike.m_Admission.m_FirstAttemptShare;
     BOOST_TEST(Credit(p, {}) > Credit(p, alike) + 0.03);
 }
 
--- a/tests/test_place_promise.cpp
+++ b/tests/test_place_promise.cpp
@@ -14,7 +14,7 @@
 
 BOOST_AUTO_TEST_CASE(who_asks_next_is_told_of_the_place_that_was_taken)
 {
-    PlacePromises p;
+    PlaceReservations p;
     p.OnReport(3, 1, kStart, kStart);
     const PlaceState first = p.State(kStart);
     p.Take(100, kStart);
@@ -29,14 +29,14 @@
 
 BOOST_AUTO_TEST_CASE(asking_alone_takes_nothing)
 {
-    PlacePromises p;
+    PlaceReservations p;
     for (int i = 0; i < 20; i++)
         BOOST_TEST(p.State(kStart).m_Promised == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(a_place_counts_until_a_report_shows_its_request_and_lapses_by_itself)
 {
-    PlacePromises p;
+    PlaceReservations p;
     p.Take(100, kStart);
     p.OnReport(0, 0, kStart + milliseconds(5), kStart + milliseconds(6)); // asked for before the request can have come
     BOOST_TEST(p.State(kStart + milliseconds(6)).m_Promised == 1u);
@@ -48,7 +48,7 @@
 
 BOOST_AUTO_TEST_CASE(an_empty_server_has_nothing_to_read_whatever_was_counted)
 {
-    PlacePromises p;
+    PlaceReservations p;
     for (int i = 0; i < 5; i++)
         p.Take(1000, kStart); // requests that never came
     p.OnReport(0, 0, kStart + milliseconds(60), kStart + milliseconds(60));
@@ -64,10 +64,10 @@
     ALDERVALE_PROPERTY("whatever the order, counts stay within what was taken, and all of it lapses",
                        []
                        {
-                           PlacePromises p;
-                           TimePoint     now   = kStart;
-                           double        read  = 0; // ms taken in all
-                           uint64_t      taken = 0;
+                           PlaceReservations p;
+                           TimePoint         now   = kStart;
+                           double            read  = 0; // ms taken in all
+                           uint64_t          taken = 0;
                            for (int i = *rc::gen::inRange(0, 60); i > 0; i--)
                            {
                                now += milliseconds(*rc::gen::inRange(0, 30));
--- a/tests/test_server_choice.cpp
+++ b/tests/test_server_choice.cpp
@@ -34,10 +34,10 @@
 RequestNeed Need(const Service& s, double prompt = 500)
 {
     RequestNeed n;
-    n.m_Service    = &s;
-    n.m_Goal       = milliseconds(400);
-    n.m_Prompt     = prompt;
-    n.m_DataCentre = "dc-1";
+    n.m_Service      = &s;
+    n.m_Objective    = milliseconds(400);
+    n.m_PromptTokens = prompt;
+    n.m_DataCentre   = "dc-1";
     return n;
 }
 
@@ -103,8 +103,8 @@
     const Choice first = c.Choose(fleet.Candidates(), need, kStart);
     BOOST_TEST(first.m_Server == nullptr);
     BOOST_TEST(ToMs(first.m_RetryAfter) > 0);
-    BOOST_TEST((first.m_Predicted > need.m_Goal));
-    need.m_CameBack   = true;
+    BOOST_TEST((first.m_Predicted > need.m_Objective));
+    need.m_IsRetry    = true;
     const Choice back = c.Choose(fleet.Candidates(), need, kStart);
     BOOST_TEST(back.m_Server != nullptr);
 }
@@ -122,7 +122,7 @@
     const std::vector<WeightsDeadline> deadlines = {{2, kStart}};
     RequestNeed                        need      = Need(s);
     need.m_WeightsDeadlines                      = deadlines;
-    need.m_CameBack                              = true;
+    need.m_IsRetry                               = true;
     for (int i = 0; i < 20; i++)
         BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server->m_Id == "c");
     c.OnReport("c", Load(0, 0, 0), kStart); // its box says that it holds nothing any more
@@ -151,7 +151,7 @@
     const Fleet   fleet{{Entry("a", "model")}};
     ServerChoice  c({}, 1);
     RequestNeed   back = Need(s);
-    back.m_CameBack    = true;
+    back.m_IsRetry     = true;
     TimePoint now      = kStart;
     c.OnReport("a", Load(4, 1), now);
     BOOST_TEST(c.Choose(fleet.Candidates(), back, now).m_Server != nullptr); // a short one: better late than never
@@ -174,7 +174,7 @@
     ServerChoice  c({}, 1);
     c.OnReport("old", Load(4, 3, 1), kStart);
     RequestNeed need = Need(s);
-    need.m_CameBack  = true;
+    need.m_IsRetry   = true;
     BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server != nullptr);
     const std::vector<WeightsDeadline> soon = {{2, kStart + seconds(1)}};
     need.m_WeightsDeadlines                 = soon;
@@ -248,7 +248,7 @@
     c.OnReport("two", Load(4, 0, 2), kStart);
     const std::vector<WeightsDeadline> deadlines = {{2, kStart}, {3, kStart + seconds(6)}};
     RequestNeed                        need      = Need(s);
-    need.m_CameBack                              = true;
+    need.m_IsRetry                               = true;
     need.m_WeightsDeadlines                      = deadlines;
     for (int i = 0; i < 20; i++)
         BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server->m_Id == "two");
@@ -295,9 +295,9 @@
     b.m_UnreadMs = 0;
     c.OnReport("a", a, kStart);
     c.OnReport("b", b, kStart);
-    RequestNeed need = Need(s);
-    need.m_Asked     = true;
-    const Choice x   = c.Choose(fleet.Candidates(), need, kStart);
+    RequestNeed need        = Need(s);
+    need.m_FreshAnswersOnly = true;
+    const Choice x          = c.Choose(fleet.Candidates(), need, kStart);
     BOOST_REQUIRE(x.m_Server != nullptr);
     BOOST_TEST(x.m_Server->m_Id == "b");
     BOOST_TEST(x.m_Candidates == 2u);
@@ -319,7 +319,7 @@
     std::set<std::string>   ids;
     for (int round = 0; round < 20; round++)
     {
-        const auto boxes = c.WhomToAsk(fleet.Candidates(), Need(s), asked, kStart);
+        const auto boxes = c.ServersToAsk(fleet.Candidates(), Need(s), asked, kStart);
         BOOST_TEST(boxes.size() <= 3u);
         for (const ServerEntry* e : boxes)
         {
@@ -329,11 +329,11 @@
     }
     BOOST_TEST(ids.size() == 40u); // all of them in the end
     for (int i = 1; i < 40; i++)
-        c.OnSilent("s" + std::to_string(i), kStart);
+        c.OnNoAnswer("s" + std::to_string(i), kStart);
     int first = 0;
     for (int i = 0; i < 200; i++)
     {
-        const auto boxes = c.WhomToAsk(fleet.Candidates(), Need(s), {}, kStart);
+        const auto boxes = c.ServersToAsk(fleet.Candidates(), Need(s), {}, kStart);
         for (size_t k = 0; k < boxes.size(); k++)
             if (boxes[k]->m_Id == "s0")
             {
@@ -357,8 +357,8 @@
     empty.m_Weights        = 0;
     c.OnReport("a", starting, kStart);
     c.OnReport("b", empty, kStart);
-    RequestNeed need = Need(s);
-    need.m_Asked     = true;
+    RequestNeed need        = Need(s);
+    need.m_FreshAnswersOnly = true;
     BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server == nullptr);
 }
 
@@ -514,7 +514,7 @@
                                    tried.emplace_back("s" + std::to_string(i));
                            RequestNeed need = Need(s, *rc::gen::inRange(0, 5000));
                            need.m_Tried     = tried;
-                           need.m_CameBack  = *rc::gen::arbitrary<bool>();
+                           need.m_IsRetry   = *rc::gen::arbitrary<bool>();
                            const Choice x   = c.Choose(fleet.Candidates(), need, kStart + milliseconds(*rc::gen::inRange(0, 3000)));
                            if (x.m_Server == nullptr)
                            {
@@ -552,7 +552,7 @@
                                    c.OnReport("a", Load(*rc::gen::inRange(0u, 3u), 0), now);
                                }
                                RequestNeed need = Need(s);
-                               need.m_CameBack  = true;
+                               need.m_IsRetry   = true;
                                const Choice x   = c.Choose(fleet.Candidates(), need, now);
                                RC_ASSERT(x.m_InFlight < 1000u);
                                if (x.m_Server != nullptr)
