--- a/src/request/admission.cpp
+++ b/src/request/admission.cpp
@@ -1,4 +1,4 @@
-// Taking and refusing requests. See admission.h.
+// Admission of requests. See admission.h.
 #include "request/admission.h"
 #include <algorithm>
 #include <cmath>
@@ -9,18 +9,18 @@
 namespace
 {
 
-constexpr double kWindowS          = 2.5;        // over which the share of refused first attempts is a mean
-constexpr double kFewFirstAttempts = 30;         // first attempts below which that share says little: one refusal is no overload
+constexpr double kWindowS          = 2.5;        // time constant with which counts of first attempts decay
+constexpr double kFewFirstAttempts = 30;         // added to the count of first attempts: a single refusal is no overload
 constexpr auto   kPauseMin         = seconds(2); // callers' rule for giving up a stream: the longest of this,
-constexpr int    kPauseObjectives  = 4;          // so many objectives,
-constexpr int    kPauseGaps        = 8;          // and so many of the pauses that are still in time
-constexpr double kRandomFromShare  = 2.0 / 3;    // of a long wait: the rest is by chance, so that callers don't return together
+constexpr int    kPauseObjectives  = 4;          // this many latency objectives,
+constexpr int    kPauseGaps        = 8;          // and this many times the longest pause that is still in time
+constexpr double kRandomFromShare  = 2.0 / 3;    // of a long delay; the rest is random, so that callers don't retry together
 
 } // namespace
 
-Duration MaxToleratedPause(Duration goal, Duration max_gap)
+Duration MaxToleratedPause(Duration objective, Duration max_gap)
 {
-    return std::max({Duration(kPauseMin), kPauseObjectives * goal, kPauseGaps * max_gap});
+    return std::max({Duration(kPauseMin), kPauseObjectives * objective, kPauseGaps * max_gap});
 }
 
 double Admission::RefusedShare() const
@@ -55,7 +55,7 @@
 
 Duration Admission::RetryAfter(const AdmissionNeed& need, Duration predicted, double random) const
 {
-    const double shorter = ToSeconds(predicted) - ToSeconds(need.m_StrictestObjective) / 2; // until the queue is shorter
+    const double shorter = ToSeconds(predicted) - ToSeconds(need.m_StrictestObjective) / 2; // time until the queue is shorter
     const double longest = ToSeconds(need.m_TimeToDeadline) * m_Config.m_RetryShare;
     const double spread  = kRandomFromShare + (1 - kRandomFromShare) * random;
     const double lasting = std::min(1.0, RefusedShare() / m_Config.m_LongDelayAboveRefusedShare);
--- a/src/request/engine_prediction.h
+++ b/src/request/engine_prediction.h
@@ -1,12 +1,12 @@
-// aldervale: how long a model engine takes to a request's first event
+// aldervale: predicted time to the first event of a request at a model engine
 //
-// Pure, from the declared costs of the engine and what is believed to be there. An engine works in passes: it reads up to m_ReadMax prompt
-// tokens, then plays m_StepsPerPass token steps for all requests in the batch. So a request waits for the pass under way, for the prompts
-// ahead of its own (each costs its reading and its part of the steps between two reads), and, when all slots are taken, for a slot; both
-// waits pass at the same time. Then its own prompt is read and the steps of its first event are played.
+// Pure logic, from the declared costs of the engine and its estimated load. An engine works in passes: each reads (prefills) up to m_ReadMax
+// prompt tokens, then runs m_StepsPerPass decode steps for all requests in the batch. A request waits for the pass in progress, for the prompts
+// ahead of its own (each costs its reading and its part of the steps between two reads), and, when all slots are taken, for a slot; both waits
+// pass at the same time. Then its own prompt is read and the steps up to its first event run.
 //
-// Against the true state of the servers, on 8,800 requests under changing load: error -10 ms in the median, by the number of requests at
-// the server (8 to 25) within 30 ms; a mean pass in place of reads and steps was 100 ms too long with one more request than slots.
+// Compared with the true state of the servers on 8,800 requests under changing load: median error -10 ms, and within 30 ms for each number of
+// requests at the server (8 to 25). A model with a mean pass in place of reads and steps was 100 ms too long with one more request than slots.
 
 #pragma once
 #include "version/route_table.h"
@@ -14,18 +14,18 @@
 namespace aldervale
 {
 
-struct EngineLoad // what is believed to be at one server
+struct EngineLoad // estimated load of one server
 {
-    double m_InFlight           = 0;  // requests, waiting ones included
-    double m_Waiting            = 0;  // of these, as reported: not in the batch yet
-    double m_OwnUnreadTokens    = 0;  // prompt tokens of this router's requests that no event has answered yet
-    double m_OthersUnreadTokens = 0;  // further prompt tokens that other routers are believed to have sent
-    double m_ReportedUnreadMs   = -1; // engine time until all prompts there are read, as its box counted it; negative: not known
+    double m_InFlight           = 0;  // requests, including waiting ones
+    double m_Waiting            = 0;  // requests that are not in the batch yet, as reported; included in m_InFlight
+    double m_OwnUnreadTokens    = 0;  // prompt tokens of this router's requests that wait for their first event
+    double m_OthersUnreadTokens = 0;  // estimated prompt tokens that other routers have sent in addition
+    double m_ReportedUnreadMs   = -1; // engine time until all prompts there are read, as counted by its box; negative: unknown
 };
 
 double FirstEventMs(const EngineCosts& e, const EngineLoad& load, double prompt);
 
-// Engine time that reading a prompt takes while others write: its reading, and its part of the steps between two reads.
+// Engine time to read a prompt while other requests decode: the reading, and its part of the steps between two reads.
 double ReadingMs(const EngineCosts& e, double prompt);
 
 } // namespace aldervale
--- a/src/request/followed_boxes.cpp
+++ b/src/request/followed_boxes.cpp
@@ -1,4 +1,4 @@
-// Which boxes a router follows. See followed_boxes.h.
+// Selection of the boxes that a router follows. See followed_boxes.h.
 #include "request/followed_boxes.h"
 #include "common/hash.h"
 #include <algorithm>
@@ -21,19 +21,19 @@
 std::vector<FollowedBox> FollowedBoxes(const std::string& router, const std::string& data_centre, std::span<const KnownBox> boxes)
 {
     std::vector<FollowedBox>                   out;
-    std::map<std::string, std::vector<Ranked>> far; // by data centre
+    std::map<std::string, std::vector<Ranked>> remote; // by data centre
     for (const KnownBox& b : boxes)
     {
         if (b.m_DataCentre == data_centre)
             out.push_back({b.m_At, true, 1});
         else
-            far[b.m_DataCentre].push_back({Hash64(router + " " + b.m_At.ToString()), &b});
+            remote[b.m_DataCentre].push_back({Hash64(router + " " + b.m_At.ToString()), &b});
     }
-    for (auto& [name, ranked] : far)
+    for (auto& [name, ranked] : remote)
     {
         std::sort(ranked.begin(), ranked.end(), [](const Ranked& a, const Ranked& b) { return a.m_Rank < b.m_Rank; });
-        const size_t most  = std::max<size_t>(1, kFollowedRemoteMax / far.size());
-        const size_t taken = std::min(most, ranked.size());
+        const size_t max   = std::max<size_t>(1, kFollowedRemoteMax / remote.size());
+        const size_t taken = std::min(max, ranked.size());
         const double share = static_cast<double>(taken) / static_cast<double>(ranked.size());
         for (size_t i = 0; i < taken; i++)
             out.push_back({ranked[i].m_Box->m_At, false, share});
--- a/src/request/followed_boxes.h
+++ b/src/request/followed_boxes.h
@@ -1,8 +1,9 @@
-// aldervale: the boxes whose load reports a router follows
+// aldervale: the boxes whose load reports a router subscribes to
 //
-// Pure. All of the own data centre, and of each other one a few that a hash of both names picks: every router other ones, every box by as many
-// routers. A router sends beyond its data centre only what that has no room for, and asks before it does (place_promise.h). 149 routers that
-// each asked all of 204 boxes for reports received 1,100 datagrams a second each, and moved 0.56 GB between regions in a minute.
+// Pure logic. A router follows all boxes of its own data centre, and a few of each other one. A hash of the router's name and the box's address
+// picks those, so that routers follow different boxes and each box has about as many followers. A router sends to other data centres only what
+// its own has no capacity for, and asks the box before it does (place_promise.h). When 149 routers each subscribed to all of 204 boxes, each
+// received 1,100 datagrams a second, and 0.56 GB a minute crossed between regions.
 //
 // Usage:
 //   std::vector<FollowedBox> boxes = FollowedBoxes("router-1", "dc-1", all);
@@ -14,7 +15,7 @@
 namespace aldervale
 {
 
-constexpr size_t kFollowedRemoteMax = 24; // of all other data centres together: as many as a tenth of 240, which is more than ever spills over
+constexpr size_t kFollowedRemoteMax = 24; // of all other data centres together: a tenth of 240, more than ever spills over
 
 struct KnownBox
 {
--- a/src/request/place_line.cpp
+++ b/src/request/place_line.cpp
@@ -1,4 +1,4 @@
-// Claims of places at a box. See place_line.h.
+// Queue of claims for places at a box. See place_line.h.
 #include "request/place_line.h"
 #include <algorithm>
 
@@ -28,8 +28,9 @@
     }
     if (claim.m_QueuedUntil <= now || m_Queue.size() >= m_Config.m_QueueMax)
         return ClaimAnswer_Denied;
-    const auto later = std::find_if(m_Queue.begin(), m_Queue.end(), [&](const PlaceClaim& c) { return c.m_QueuedUntil > claim.m_QueuedUntil; });
-    m_Queue.insert(later, claim);
+    const auto expires_later =
+        std::find_if(m_Queue.begin(), m_Queue.end(), [&](const PlaceClaim& c) { return c.m_QueuedUntil > claim.m_QueuedUntil; });
+    m_Queue.insert(expires_later, claim);
     return ClaimAnswer_Queued;
 }
 
@@ -38,13 +39,13 @@
     std::vector<SettledClaim> out;
     while (!m_Queue.empty())
     {
-        const PlaceClaim first = m_Queue.front();
-        const bool       over  = first.m_QueuedUntil <= now;
-        if (!over && !IsFree(first, places, now))
+        const PlaceClaim first   = m_Queue.front();
+        const bool       expired = first.m_QueuedUntil <= now;
+        if (!expired && !IsFree(first, places, now))
             break;
-        if (!over)
+        if (!expired)
             Grant(first, places, now);
-        out.push_back({first, !over});
+        out.push_back({first, !expired});
         m_Queue.erase(m_Queue.begin());
     }
     return out;
@@ -62,12 +63,12 @@
 void PlaceQueue::Release(const std::string& key, PlaceReservations& places, TimePoint now)
 {
     std::erase_if(m_Queue, [&](const PlaceClaim& c) { return c.m_Key == key; });
-    const auto given = std::find_if(m_RecentGrants.begin(), m_RecentGrants.end(), [&](const RecentGrant& g) { return g.m_Key == key; });
-    if (given == m_RecentGrants.end())
+    const auto grant = std::find_if(m_RecentGrants.begin(), m_RecentGrants.end(), [&](const RecentGrant& g) { return g.m_Key == key; });
+    if (grant == m_RecentGrants.end())
         return;
-    if (now - given->m_GrantedAt <= m_Config.m_ReleaseWindow)
-        places.GiveBack(given->m_ReadingMs, given->m_GrantedAt);
-    m_RecentGrants.erase(given);
+    if (now - grant->m_GrantedAt <= m_Config.m_ReleaseWindow)
+        places.GiveBack(grant->m_ReadingMs, grant->m_GrantedAt);
+    m_RecentGrants.erase(grant);
 }
 
 } // namespace aldervale
--- a/src/request/place_line.h
+++ b/src/request/place_line.h
@@ -1,22 +1,26 @@
-// aldervale: who gets the next place at a model server
+// aldervale: queue of claims for the next free place at a model server
 //
-// Pure: claims, what is known of the own server (place_promise.h) and times go in; grants and refusals come out. When places are scarce, an
-// answer that says "one is free" is heard by several routers before the first of their requests is there: at 1.2 times of what the servers can
-// do 7 in 100 streams that were sent to a server with one place left, as they were told, came too late, at 1.4 times 12 in 100; of those sent to
-// a server with none left 14 and 25 (routers' logs, one day each). So the box says whose place it is.
+// Pure logic without I/O or clocks. Input: claims, the load of the local server (place_promise.h) and times. Output: grants and denials.
 //
-// The load it answers: more than the servers can do, for seconds or for good.
+// Terms: a place is capacity of a model server for one more concurrent request. A claim is a router's request to reserve the next free place;
+// a grant reserves it.
+//
+// Why: when places are scarce, several routers receive the answer "one is free" before the first of their requests arrives. At 1.2 times the
+// load that the servers can take, 7 in 100 of the streams that were sent to a server reported to have one free place were late, at 1.4 times 12
+// in 100; of those sent to a server with no free place 14 and 25 (router logs, one day each). So the box decides who gets the place.
+//
+// Intended load: more than the servers can take, for seconds or permanently.
 //
 // How it decides:
-//   - A claim is granted while fewer requests than it names are at the server or on their way. The place counts as taken from then on.
-//   - Else it stands in line for as long as its router said, and is granted when a place gets free; the one that can wait least goes first.
-//     Its router has claims at a few boxes and lets go of the others when one grants: it is bound to no server while it waits, and the queue of
-//     each server stays empty.
-//   - The line is short: a server of 12 slots frees one in some 130 ms. Who can't be served within its time is told at once.
+//   - A claim is granted while fewer requests than its m_MaxRequests are at the server or on their way. The place is reserved from then on.
+//   - Otherwise the claim waits in the queue for as long as its router allows, and is granted when a place becomes free. The claim that expires
+//     first is granted first. A router has claims at a few boxes and releases the others when one is granted: a waiting request is bound to no
+//     server, and the servers' own queues stay empty.
+//   - The queue is short: a server of 12 slots frees one about every 130 ms. A claim that can't be served in its time is denied at once.
 //
 // Usage (src/version/place_answers.cpp):
 //   if (queue.Claim(claim, places, now) == ClaimAnswer_Queued) ...
-//   for (const SettledClaim& s : queue.Settle(places, now)) Tell(s.m_Claim, s.m_Granted);       // after each report
+//   for (const SettledClaim& s : queue.Settle(places, now)) Notify(s.m_Claim, s.m_Granted);    // after each report
 //   queue.Release(key, places, now);
 
 #pragma once
@@ -28,24 +32,24 @@
 
 struct PlaceQueueConfig
 {
-    size_t   m_QueueMax            = 2;                // claims in line
-    Duration m_ReleaseWindow       = milliseconds(50); // a grant can be given back for this long: as long as its place counts without a request
-    size_t   m_RememberedGrantsMax = 64;               // grants remembered for that, the newest
+    size_t   m_QueueMax            = 2;                // claims in the queue
+    Duration m_ReleaseWindow       = milliseconds(50); // a grant can be released for this long: as long as a reservation counts without a request
+    size_t   m_RememberedGrantsMax = 64;               // newest grants that are remembered for a release
 };
 
 struct PlaceClaim
 {
-    std::string m_Key;             // of the claim, unique among routers
-    uint32_t    m_MaxRequests = 1; // a place is free while fewer requests are there
-    TimePoint   m_QueuedUntil{};   // stands in line until then
-    double      m_ReadingMs = 0;   // engine time that its prompt takes to be read
+    std::string m_Key;             // unique among the claims of all routers
+    uint32_t    m_MaxRequests = 1; // a place is free while fewer requests than this are at the server or on their way
+    TimePoint   m_QueuedUntil{};   // denied if not granted by then
+    double      m_ReadingMs = 0;   // engine time that reading its prompt takes
 };
 
 enum ClaimAnswer
 {
-    ClaimAnswer_Granted, // the place is taken with it
-    ClaimAnswer_Denied,  // there is none, and it doesn't stand in line
-    ClaimAnswer_Queued,  // stands in line
+    ClaimAnswer_Granted, // the place is reserved
+    ClaimAnswer_Denied,  // no place is free, and the claim isn't queued
+    ClaimAnswer_Queued,  // waits in the queue
 };
 
 struct SettledClaim
@@ -60,9 +64,9 @@
     explicit PlaceQueue(const PlaceQueueConfig& cfg = {}) : m_Config(cfg) {}
 
     ClaimAnswer               Claim(const PlaceClaim& claim, PlaceReservations& places, TimePoint now);
-    std::vector<SettledClaim> Settle(PlaceReservations& places, TimePoint now); // those of the line that are granted now, or whose time is over
-    std::vector<SettledClaim> DenyAll();                                        // the server takes nothing now
-    void                      Release(const std::string& key, PlaceReservations& places, TimePoint now);
+    std::vector<SettledClaim> Settle(PlaceReservations& places, TimePoint now); // removes and returns queued claims that are granted or have expired
+    std::vector<SettledClaim> DenyAll();                                        // empties the queue, when the server takes no requests
+    void                      Release(const std::string& key, PlaceReservations& places, TimePoint now); // withdraws a queued or granted claim
     bool                      Empty() const { return m_Queue.empty(); }
 
 private:
@@ -77,8 +81,8 @@
     void Grant(const PlaceClaim& claim, PlaceReservations& places, TimePoint now);
 
     PlaceQueueConfig         m_Config;       //
-    std::vector<PlaceClaim>  m_Queue;        // those that can wait least first; at most m_Config.m_QueueMax
-    std::vector<RecentGrant> m_RecentGrants; // lately, the oldest first; at most m_Config.m_RememberedGrantsMax
+    std::vector<PlaceClaim>  m_Queue;        // earliest expiry first; at most m_Config.m_QueueMax
+    std::vector<RecentGrant> m_RecentGrants; // oldest first; at most m_Config.m_RememberedGrantsMax
 };
 
 } // namespace aldervale
--- a/src/request/place_promise.cpp
+++ b/src/request/place_promise.cpp
@@ -1,4 +1,4 @@
-// Requests on their way to a box's server. See place_promise.h.
+// Reserved places at a box's server. See place_promise.h.
 #include "request/place_promise.h"
 #include <algorithm>
 
@@ -17,7 +17,7 @@
     std::erase_if(m_ReservedAt, [&](TimePoint at) { return asked_at - at >= m_Config.m_ArrivalMax; });
     RemoveExpired(now);
     if (m_Running + m_Waiting == 0 && m_ReservedAt.empty())
-        m_PromptsReadAt = now; // nothing is there, whatever was counted of requests that never came
+        m_PromptsReadAt = now; // the server is empty: drops the reading time of requests that never arrived
 }
 
 PlaceState PlaceReservations::State(TimePoint now)
@@ -42,7 +42,7 @@
 void PlaceReservations::GiveBack(double reading_ms, TimePoint taken_at)
 {
     const auto taken = std::find(m_ReservedAt.begin(), m_ReservedAt.end(), taken_at);
-    if (taken != m_ReservedAt.end()) // else a report took its place: that counts only what is there
+    if (taken != m_ReservedAt.end()) // otherwise a report has replaced the reservation already
         m_ReservedAt.erase(taken);
     m_PromptsReadAt -= FromMs(reading_ms);
 }
--- a/src/request/place_promise.h
+++ b/src/request/place_promise.h
@@ -1,25 +1,28 @@
-// aldervale: what a box knows of requests that are on their way to its model server
+// aldervale: load of the local model server, including requests that are still on their way
 //
-// Pure: what routers say, reports of the own server and times go in; the server's load as it truly is comes out. The box stands beside its
-// server, so its reports are milliseconds old, and it hears of every request that is about to come: many routers that each look at reports
-// send to the server that looked best then, and find that others did, too.
+// Pure logic without I/O or clocks. Input: reservations by routers, reports of the local server and times. Output: the server's present load.
+// The box stands beside its server, so its reports are milliseconds old, and it is notified of every request that is about to arrive. Routers
+// that decide by reports alone all send to the server that looked best in the last one.
 //
-// The load it answers: 150 routers before 200 servers at nine tenths of what they can do, load that rises by half within seconds, servers that
-// start with new weights. 8 to 10 in 100 streams were late in calm seconds when each router decided by reports alone.
+// Intended load: 150 routers and 200 servers at nine tenths of their capacity, load that rises by half within seconds, servers that start with
+// new weights. When each router decided by reports alone, 8 to 10 in 100 streams were late in calm seconds.
+//
+// Terms: a place is capacity of a model server for one more concurrent request. A place is reserved from the moment when a router notifies the
+// box of a request until a report shows the request at the server.
 //
 // How it counts:
-//   - A router asks a few boxes for their state, and takes a place at the best: it says so to that box with the request itself.
-//   - A place that was taken counts until a report shows its request: one that was asked for m_ArrivalMax after it. Without reports it lapses
-//     after m_ExpireAfter. Places that were only asked for don't count: at three questions of three boxes for a request they were twice as many
-//     as those taken, and callers were refused at servers with room.
-//   - The time that prompts take to be read is counted from the places taken: no report tells it. It passes by itself.
-//   - A place keeps nothing free at the server. The request itself is the offer, and the server may still refuse it.
+//   - A router asks a few boxes for their load, and reserves a place at the best one: it notifies that box when it sends the request.
+//   - A reservation counts until a report shows its request, which is a report that was requested m_ArrivalMax or more after the reservation.
+//     Without reports it expires after m_ExpireAfter. Asking alone reserves nothing: with three queries of three boxes for a request there would
+//     be twice as many reservations as requests, and callers were refused at servers with free places.
+//   - The time until all prompts are read is summed up from the reservations, since no report contains it, and decreases as time passes.
+//   - A reservation keeps nothing free at the server, which may still refuse the request when it arrives.
 //
 // Usage (src/version/place_answers.cpp):
 //   PlaceReservations p(config);
-//   p.OnReport(running, waiting, asked_at, now);   // each report of the own server
-//   PlaceState s = p.State(now);                   // told to routers that ask
-//   p.Take(reading_ms, now);                       // one sends a request
+//   p.OnReport(running, waiting, asked_at, now);   // each report of the local server
+//   PlaceState s = p.State(now);                   // the answer to a router that asks
+//   p.Take(reading_ms, now);                       // a router sends a request
 
 #pragma once
 #include "common/clock.h"
@@ -31,17 +34,17 @@
 
 struct PlaceReservationsConfig
 {
-    Duration m_ArrivalMax      = milliseconds(10); // from a place taken until its request is seen at the server: a connection and the way
-    Duration m_ExpireAfter     = milliseconds(50); // of a place that no report shows
-    size_t   m_ReservationsMax = 256;              // kept; the oldest lapse first. 5 requests a second are usual, and all lapse within m_ExpireAfter
+    Duration m_ArrivalMax      = milliseconds(10); // from the reservation until the request is seen at the server: connecting and network latency
+    Duration m_ExpireAfter     = milliseconds(50); // a reservation that no report shows is dropped after this
+    size_t   m_ReservationsMax = 256;              // the oldest are dropped first. 5 requests a second are usual, and all expire within m_ExpireAfter
 };
 
-struct PlaceState // of the own server
+struct PlaceState // load of the local server
 {
     uint32_t m_Running  = 0; // requests in the batch, as last reported
-    uint32_t m_Waiting  = 0; // requests taken, not yet in the batch
-    uint32_t m_Promised = 0; // further ones that are on their way
-    double   m_UnreadMs = 0; // engine time until all prompts there are read
+    uint32_t m_Waiting  = 0; // requests accepted but not yet in the batch, as last reported
+    uint32_t m_Promised = 0; // reserved places: requests that are still on their way
+    double   m_UnreadMs = 0; // engine time until all prompts at the server are read
 };
 
 class PlaceReservations
@@ -51,18 +54,18 @@
 
     void       OnReport(uint32_t running, uint32_t waiting, TimePoint asked_at, TimePoint now);
     PlaceState State(TimePoint now);
-    void       Take(double reading_ms, TimePoint now);          // reading_ms: engine time that the request's prompt takes to be read
-    void       GiveBack(double reading_ms, TimePoint taken_at); // a place taken then: no request comes with it
-    void       Clear();                                         // the server started again: it holds nothing
+    void       Take(double reading_ms, TimePoint now);          // reserves a place; reading_ms: engine time that reading the prompt takes
+    void       GiveBack(double reading_ms, TimePoint taken_at); // cancels the reservation made at taken_at: its request will not arrive
+    void       Clear();                                         // the server restarted and has no requests
 
 private:
     void RemoveExpired(TimePoint now);
 
     PlaceReservationsConfig m_Config;          //
-    std::vector<TimePoint>  m_ReservedAt;      // places whose requests no report has shown, the oldest first; at most m_Config.m_ReservationsMax
+    std::vector<TimePoint>  m_ReservedAt;      // times of reservations that no report has shown, oldest first; at most m_Config.m_ReservationsMax
     uint32_t                m_Running = 0;     // as last reported
     uint32_t                m_Waiting = 0;     //
-    TimePoint               m_PromptsReadAt{}; // when the prompts at the server are read, as counted
+    TimePoint               m_PromptsReadAt{}; // estimated time at which all prompts at the server are read
 };
 
 } // namespace aldervale
--- a/src/request/replica_table.cpp
+++ b/src/request/replica_table.cpp
@@ -14,7 +14,7 @@
 constexpr auto   kSentPrefixTtl    = seconds(60);
 constexpr size_t kSentPrefixesMax  = 1024; // prefixes remembered per box
 
-bool TakesRequestsOfReplica(std::string_view slice) // the box of a replica that takes its requests
+bool TakesRequestsOfReplica(std::string_view slice) // a replica may span several boxes; the first one takes its requests
 {
     const std::string_view whole = WholeDigest(slice);
     return whole == slice || slice.substr(whole.size()).starts_with("~0-");
--- a/src/request/return_guess.cpp
+++ b/src/request/return_guess.cpp
@@ -1,4 +1,4 @@
-// Who is here for the first time. See return_guess.h.
+// Detection of retries. See return_guess.h.
 #include "request/return_guess.h"
 
 namespace aldervale
--- a/src/request/route_choice.cpp
+++ b/src/request/route_choice.cpp
@@ -70,7 +70,7 @@
         if (RouteCost(views[i], cfg) < RouteCost(views[best], cfg))
             best = i;
     };
-    // Further candidates are drawn from those not drawn last, so that two choices are two replicas.
+    // Each further candidate differs from the one before, so that two choices are two replicas.
     size_t last = best;
     for (unsigned k = 1; k < cfg.m_Choices && views.size() > 1; k++)
     {
--- a/src/request/server_choice.cpp
+++ b/src/request/server_choice.cpp
@@ -1,4 +1,4 @@
-// Choosing a backend server by predicted time, and what is learned from its answers. See server_choice.h.
+// Choice of a backend server by predicted time, and statistics of its outcomes. See server_choice.h.
 #include "request/server_choice.h"
 #include <algorithm>
 #include <cmath>
@@ -10,21 +10,21 @@
 {
 
 constexpr double   kFailureStep       = 0.15;   // weight of the newest outcome in m_FailureShare
-constexpr double   kSlowFailureWeight = 0.5;    // of a failure, that a slow answer counts for
-constexpr double   kFailureDecayS     = 4;      // over which failures fade to 1/e: most faults of a server that pass are shorter
+constexpr double   kSlowFailureWeight = 0.5;    // a slow answer counts as this part of a failure
+constexpr double   kFailureDecayS     = 4;      // time in which failures decay to 1/e: most passing faults of a server are shorter
 constexpr double   kMeanStep          = 0.1;    // weight of the newest answer in m_MeanAnswerMs
-constexpr double   kSendRateWindowS   = 2;      // over which the rate of sending is a mean
-constexpr double   kPlainTieBreakMs   = 6;      // random part of a plain service's cost; below the far penalty: the own data centre's goes first
-constexpr double   kDemotionMs        = 10'000; // more than any predicted time: boxes that are silent or left out are asked when no other one is left
+constexpr double   kSendRateWindowS   = 2;      // time constant of the moving mean of the send rate
+constexpr double   kPlainTieBreakMs   = 6;      // random part of a plain service's cost; below m_RemotePenalty, so that local servers go first
+constexpr double   kDemotionMs        = 10'000; // more than any predicted time: boxes that don't answer or are suspended are asked last
 constexpr unsigned kDoublingsMax      = 6;      // of m_SuspendMin: m_SuspendMax is reached long before, and the shift stays in range
 
-// What a prompt longer than usual adds to the wait, ms; negative for a shorter one.
+// How much longer the request's own prompt takes to be read than a usual one, ms; negative for a shorter one.
 double ExtraPromptMs(const RequestNeed& need)
 {
     return (need.m_PromptTokens - need.m_Service->m_Engine->m_UsualPrompt) / need.m_Service->m_Engine->m_ReadPerMs;
 }
 
-// How much of a failure an outcome is, 0 to 1.
+// Weight of an outcome as a failure, 0 to 1.
 double FailureOf(ServerOutcome outcome)
 {
     if (outcome == ServerOutcome_Good)
@@ -87,43 +87,43 @@
     for (const ServerEntry* entry : candidates)
     {
         const Server* known = Find(entry->Life());
-        const Server& s     = known != nullptr ? *known : m_Servers[entry->m_Id]; // an outdated entry: its box's reports are newer
+        const Server& s = known != nullptr ? *known : m_Servers[entry->m_Id]; // the entry is outdated: reports of a later incarnation have arrived
         if (!Excluded(*entry, s, need, now))
             out.push_back({entry, &s, HasFreshReport(s, now) ? s.m_Report.m_Weights : entry->m_Weights, 0, 0, 0, 1});
     }
     return out;
 }
 
-// Moves `count` of them by chance, or all.
+// Appends `count` random options of `from` to `out`, or all if there are fewer.
 void ServerChoice::MoveSample(std::vector<Option>& from, size_t count, std::vector<Option>& out)
 {
-    const size_t taken  = std::min(count, from.size());
-    const double stands = static_cast<double>(from.size()) / static_cast<double>(std::max<size_t>(taken, 1));
+    const size_t taken        = std::min(count, from.size());
+    const double sampled_from = static_cast<double>(from.size()) / static_cast<double>(std::max<size_t>(taken, 1));
     for (size_t i = 0; i < taken; i++)
     {
         const size_t pick = i + static_cast<size_t>(RandomPart() * static_cast<double>(from.size() - i));
         std::swap(from[i], from[std::min(pick, from.size() - 1)]);
-        from[i].m_SampledFrom = stands;
+        from[i].m_SampledFrom = sampled_from;
         out.push_back(from[i]);
     }
 }
 
-// Of other data centres only servers whose boxes report are drawn: a router follows a few of those (followed_boxes.h), and knows nothing of the
-// rest. When there is nothing else they are drawn, too.
+// From other data centres only servers whose boxes report are sampled: a router follows a few of them (followed_boxes.h) and has no data about
+// the rest. Servers without reports are sampled only when there are no others.
 void ServerChoice::SampleOptions(std::vector<Option>& options, const RequestNeed& need, TimePoint now)
 {
     if (options.size() <= m_Config.m_LocalSampleSize)
         return;
-    std::vector<Option> near;
-    std::vector<Option> far;
-    std::vector<Option> unknown;
+    std::vector<Option> local;
+    std::vector<Option> remote;
+    std::vector<Option> without_report;
     for (const Option& o : options)
-        (o.m_Entry->m_DataCentre == need.m_DataCentre ? near : HasFreshReport(*o.m_Server, now) ? far : unknown).push_back(o);
+        (o.m_Entry->m_DataCentre == need.m_DataCentre ? local : HasFreshReport(*o.m_Server, now) ? remote : without_report).push_back(o);
     options.clear();
-    MoveSample(near, m_Config.m_LocalSampleSize, options);
-    MoveSample(far, m_Config.m_RemoteSampleSize, options);
+    MoveSample(local, m_Config.m_LocalSampleSize, options);
+    MoveSample(remote, m_Config.m_RemoteSampleSize, options);
     if (options.empty())
-        MoveSample(unknown, m_Config.m_LocalSampleSize, options);
+        MoveSample(without_report, m_Config.m_LocalSampleSize, options);
 }
 
 std::vector<ServerChoice::Option> ServerChoice::Options(Servers candidates, const RequestNeed& need, TimePoint now)
@@ -154,56 +154,56 @@
 
 double ServerChoice::CostOf(const Option& o, const RequestNeed& need, bool others_report, TimePoint now)
 {
-    const bool   model = need.m_Service->m_Engine.has_value();
-    const bool   blind = model && others_report && !HasFreshReport(*o.m_Server, now);
-    const bool   old   = model && NearWeightsDeadline(o, need, now);
-    const double far   = o.m_Entry->m_DataCentre == need.m_DataCentre ? 0 : ToMsReal(m_Config.m_RemotePenalty);
-    const double tie   = RandomPart() * (model ? m_Config.m_TieBreakMs : kPlainTieBreakMs);
-    const double fails = FailureShare(*o.m_Server, now) * m_Config.m_FailurePenaltyObjectives * ToMsReal(need.m_Objective);
-    return o.m_PredictedMs + far + tie + fails + (blind ? ToMsReal(m_Config.m_NoReportPenalty) : 0) +
-           (old ? ToMsReal(m_Config.m_OldWeightsPenalty) : 0);
+    const bool   model       = need.m_Service->m_Engine.has_value();
+    const bool   no_report   = model && others_report && !HasFreshReport(*o.m_Server, now);
+    const bool   old_weights = model && NearWeightsDeadline(o, need, now);
+    const double remote      = o.m_Entry->m_DataCentre == need.m_DataCentre ? 0 : ToMsReal(m_Config.m_RemotePenalty);
+    const double tie         = RandomPart() * (model ? m_Config.m_TieBreakMs : kPlainTieBreakMs);
+    const double failures    = FailureShare(*o.m_Server, now) * m_Config.m_FailurePenaltyObjectives * ToMsReal(need.m_Objective);
+    return o.m_PredictedMs + remote + tie + failures + (no_report ? ToMsReal(m_Config.m_NoReportPenalty) : 0) +
+           (old_weights ? ToMsReal(m_Config.m_OldWeightsPenalty) : 0);
 }
 
-// Null: there are no options. One that is left out for a while is taken only when all are.
+// Null: there are no options. A suspended server is chosen only when all are suspended.
 const ServerChoice::Option* ServerChoice::Cheapest(std::span<const Option> options, const RequestNeed& need, TimePoint now)
 {
-    const bool    reports   = std::any_of(options.begin(), options.end(), [&](const Option& o) { return HasFreshReport(*o.m_Server, now); });
-    const Option* best      = nullptr;
-    double        best_cost = 0;
-    bool          suspended = true; // the best so far is one that should be left out
+    const bool    any_report     = std::any_of(options.begin(), options.end(), [&](const Option& o) { return HasFreshReport(*o.m_Server, now); });
+    const Option* best           = nullptr;
+    double        best_cost      = 0;
+    bool          best_suspended = true; // the best option so far is suspended
     for (const Option& o : options)
     {
-        const bool   out  = now < o.m_Server->m_SuspendedUntil;
-        const double cost = CostOf(o, need, reports, now);
-        if (best != nullptr && (out > suspended || (out == suspended && cost >= best_cost)))
+        const bool   suspended = now < o.m_Server->m_SuspendedUntil;
+        const double cost      = CostOf(o, need, any_report, now);
+        if (best != nullptr && (suspended > best_suspended || (suspended == best_suspended && cost >= best_cost)))
             continue;
-        best      = &o;
-        best_cost = cost;
-        suspended = out;
+        best           = &o;
+        best_cost      = cost;
+        best_suspended = suspended;
     }
     return best;
 }
 
-// By what is known of them, without what others may have sent: the boxes know that, and say it.
+// Ranks servers without an estimate of other routers' requests: the boxes' answers will include those.
 std::vector<const ServerEntry*> ServerChoice::ServersToAsk(Servers candidates, const RequestNeed& need, std::span<const ServerLife> asked,
                                                            TimePoint now)
 {
-    std::vector<Option> options = Eligible(candidates, need, now);
-    const auto          known   = [&](const Option& o)
+    std::vector<Option> options   = Eligible(candidates, need, now);
+    const auto          was_asked = [&](const Option& o)
     {
         const ServerLife life = o.m_Entry->Life();
         return std::any_of(asked.begin(), asked.end(), [&](const ServerLife& a) { return a.Is(life); });
     };
-    std::erase_if(options, known);
+    std::erase_if(options, was_asked);
     SampleOptions(options, need, now);
     std::vector<std::pair<double, const ServerEntry*>> costs;
-    const bool reports = std::any_of(options.begin(), options.end(), [&](const Option& o) { return HasFreshReport(*o.m_Server, now); });
+    const bool any_report = std::any_of(options.begin(), options.end(), [&](const Option& o) { return HasFreshReport(*o.m_Server, now); });
     for (Option& o : options)
     {
-        o.m_PredictedMs   = Predict(o, need, now);
-        const bool   late = StartsAfterDeadline(o, need, now);
-        const bool   last = late || now < o.m_Server->m_SuspendedUntil || now < o.m_Server->m_DemotedUntil;
-        const double cost = CostOf(o, need, reports, now) + (last ? kDemotionMs : 0);
+        o.m_PredictedMs      = Predict(o, need, now);
+        const bool   late    = StartsAfterDeadline(o, need, now);
+        const bool   demoted = late || now < o.m_Server->m_SuspendedUntil || now < o.m_Server->m_DemotedUntil;
+        const double cost    = CostOf(o, need, any_report, now) + (demoted ? kDemotionMs : 0);
         costs.emplace_back(cost, o.m_Entry);
     }
     std::sort(costs.begin(), costs.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -243,13 +243,14 @@
     return out;
 }
 
-// What is left of the time that admission allows, up to a part of the objective: who is refused early can still be served in time elsewhere.
+// The rest of the wait that admission allows, up to a share of the objective: a caller that is refused early can still be served in time by
+// another server.
 Duration ServerChoice::ClaimQueueWait(const Choice& best, const RequestNeed& need) const
 {
-    const double   goal  = ToSeconds(StrictestObjective(need));
-    const Duration usual = best.m_Predicted - FromMs(ExtraPromptMs(need));
-    return std::clamp(FromSeconds(goal * m_Config.m_Admission.m_FirstAttemptShare) - usual, Duration::zero(),
-                      FromSeconds(goal * m_Config.m_QueueWaitMaxShare));
+    const double   objective = ToSeconds(StrictestObjective(need));
+    const Duration usual     = best.m_Predicted - FromMs(ExtraPromptMs(need));
+    return std::clamp(FromSeconds(objective * m_Config.m_Admission.m_FirstAttemptShare) - usual, Duration::zero(),
+                      FromSeconds(objective * m_Config.m_QueueWaitMaxShare));
 }
 
 Choice ServerChoice::OnClaimGranted(const Choice& granted, const RequestNeed& need, TimePoint now)
@@ -292,13 +293,13 @@
     return c;
 }
 
-// Refuses what can't be answered in time.
+// Refuses requests that can't be answered in time.
 Choice ServerChoice::Decide(Choice best, const RequestNeed& need, TimePoint now)
 {
-    const bool     model = need.m_Service->m_Engine.has_value();
-    const Duration usual = model ? best.m_Predicted - FromMs(ExtraPromptMs(need)) : best.m_Predicted;
-    const bool     taken = best.m_Server != nullptr && (!model || m_Admission.Admits(AdmissionOf(need), usual));
-    if (!taken)
+    const bool     model    = need.m_Service->m_Engine.has_value();
+    const Duration usual    = model ? best.m_Predicted - FromMs(ExtraPromptMs(need)) : best.m_Predicted;
+    const bool     admitted = best.m_Server != nullptr && (!model || m_Admission.Admits(AdmissionOf(need), usual));
+    if (!admitted)
         return Refuse(best, need, now);
     if (model && !need.m_IsRetry)
         m_Admission.OnFirstAttempt(false, now);
@@ -307,11 +308,11 @@
 
 Choice ServerChoice::Refuse(Choice best, const RequestNeed& need, TimePoint now)
 {
-    const AdmissionNeed ask       = AdmissionOf(need);
-    const Duration      predicted = best.m_Server == nullptr ? ask.m_StrictestObjective : best.m_Predicted;
+    const AdmissionNeed admission = AdmissionOf(need);
+    const Duration      predicted = best.m_Server == nullptr ? admission.m_StrictestObjective : best.m_Predicted;
     if (need.m_Service->m_Engine && !need.m_IsRetry)
         m_Admission.OnFirstAttempt(true, now);
-    best.m_RetryAfter = m_Admission.RetryAfter(ask, predicted, RandomPart());
+    best.m_RetryAfter = m_Admission.RetryAfter(admission, predicted, RandomPart());
     best.m_Server     = nullptr;
     return best;
 }
@@ -339,7 +340,7 @@
 {
     Server* s = Find(life);
     if (s == nullptr)
-        return; // what happened to the lifetime before says nothing of this one
+        return; // an outcome of an earlier incarnation says nothing about this one
     s->m_InFlight -= s->m_InFlight > 0 ? 1 : 0;
     s->m_EndedSinceReport++;
     s->m_UnreadTokens = std::max(0.0, s->m_UnreadTokens - unread_prompt);
@@ -393,7 +394,7 @@
     s->m_SentSinceReport  = 0;
     s->m_EndedSinceReport = 0;
     s->m_DemotedUntil     = {};
-    m_Routers             = r.m_Routers > 0 ? r.m_Routers : m_Routers; // answers of boxes don't say
+    m_Routers             = r.m_Routers > 0 ? r.m_Routers : m_Routers; // answers of boxes leave it at 0
 }
 
 void ServerChoice::OnNoAnswer(const ServerLife& life, TimePoint now)
--- a/src/request/server_prediction.cpp
+++ b/src/request/server_prediction.cpp
@@ -1,4 +1,4 @@
-// How long a backend server is predicted to take, and what other routers are believed to have sent it. See server_choice.h.
+// Predicted times of backend servers, and estimates of what other routers sent to them. See server_choice.h.
 #include "request/engine_prediction.h"
 #include "request/server_choice.h"
 #include <algorithm>
@@ -9,13 +9,13 @@
 namespace
 {
 
-constexpr double kPlainDefaultMs    = 50;  // of a plain service's answer before one was seen
-constexpr double kOthersRequestsMax = 200; // requests of other routers that are handed out in thought; more than that says nothing new
+constexpr double kPlainDefaultMs    = 50;  // answer time of a plain service before the first answer
+constexpr double kOthersRequestsMax = 200; // requests of other routers that are assigned in the estimate; more add no information
 
 } // namespace
 
 //-----------------------------------------------------------------------------
-// Requests in flight, and what other routers sent
+// Requests in flight, and the estimate of other routers' requests
 //-----------------------------------------------------------------------------
 
 double ServerChoice::InFlight(const Option& o, TimePoint now) const
@@ -29,8 +29,8 @@
     return std::max<double>(s.m_InFlight, reported) + o.m_OthersInFlight;
 }
 
-// Gives what others sent at `sent_at` to the server that looks best. What was sent before a server's report is in that report, so only
-// servers with older reports take it, for their share of it.
+// Assigns requests that others sent at `sent_at` to the server that looks best. A report includes what was sent before it, so only servers with
+// older reports are considered, for their share of the requests.
 void ServerChoice::AssignToBest(std::span<Option* const> fresh, double requests, TimePoint sent_at, const RequestNeed& need, TimePoint now) const
 {
     Option* best     = nullptr;
@@ -50,7 +50,7 @@
     best->m_PredictedMs  = PredictModel(*best, need, now);
 }
 
-// Hands out what the others have sent since the oldest report, a request at a time, each to the server that looked best then.
+// Assigns the estimated requests of other routers since the oldest report, one at a time, each to the server that looked best at that time.
 void ServerChoice::AssignOthers(std::span<Option> options, double rate, const RequestNeed& need, TimePoint now) const
 {
     std::vector<Option*> fresh;
@@ -63,9 +63,9 @@
         fresh.push_back(&o);
         oldest_s = std::max(oldest_s, ToSeconds(now - o.m_Server->m_ReportAt));
     }
-    rate /= options.front().m_SampledFrom; // the others send to those that weren't drawn, too
-    for (double left = std::min(rate * oldest_s, kOthersRequestsMax); left > 0; left -= 1)
-        AssignToBest(fresh, std::min(1.0, left), now - FromSeconds(left / rate), need, now);
+    rate /= options.front().m_SampledFrom; // other routers also send to servers outside the sample
+    for (double remaining = std::min(rate * oldest_s, kOthersRequestsMax); remaining > 0; remaining -= 1)
+        AssignToBest(fresh, std::min(1.0, remaining), now - FromSeconds(remaining / rate), need, now);
 }
 
 std::vector<std::span<ServerChoice::Option>> ServerChoice::ByDataCentre(std::vector<Option>& options)
@@ -81,7 +81,7 @@
     return out;
 }
 
-// Routers send to their own data centre's servers before others, and are taken to be spread evenly over the data centres.
+// Routers prefer the servers of their own data centre, and are assumed to be spread evenly over the data centres.
 void ServerChoice::EstimateOthers(std::vector<Option>& options, const RequestNeed& need, TimePoint now) const
 {
     if (m_Routers < 2 || options.empty())
@@ -89,8 +89,8 @@
     const std::vector<std::span<Option>> data_centres = ByDataCentre(options);
     for (const std::span<Option> here : data_centres)
     {
-        const bool   near   = here.front().m_Entry->m_DataCentre == need.m_DataCentre;
-        const double others = m_Routers / static_cast<double>(data_centres.size()) - (near ? 1 : 0); // this router isn't one of them
+        const bool   local  = here.front().m_Entry->m_DataCentre == need.m_DataCentre;
+        const double others = m_Routers / static_cast<double>(data_centres.size()) - (local ? 1 : 0); // without this router
         AssignOthers(here, m_Config.m_OthersToBestShare * m_SentPerSecond * std::max(0.0, others), need, now);
     }
 }
@@ -128,8 +128,8 @@
     return need.m_Service->m_Engine ? PredictModel(o, need, now) : PredictPlain(o);
 }
 
-// Requests at the mean server beyond those believed at this one. Of many servers with uncertain counts the one that looks best mostly has
-// more than it seems.
+// By how many requests in flight this server is below the mean. Of many servers with uncertain counts the one that looks best usually has more
+// requests than estimated.
 double ServerChoice::InFlightBelowMean(const Option& chosen, std::span<const Option> options, TimePoint now) const
 {
     double sum = 0;
@@ -138,8 +138,8 @@
     return std::max(0.0, sum / static_cast<double>(options.size()) - InFlight(chosen, now));
 }
 
-// What is admitted by: partly the mean of the servers' counts, and without the prompts that others are only believed to have sent. Those tell
-// servers apart; as a reason to refuse they turned callers away that would have been in time.
+// Predicted time that admission is decided by. Corrects the requests in flight towards the mean of all servers, and leaves out the estimated
+// prompts of other routers: they help to compare servers, but used for admission they refused callers that would have been served in time.
 double ServerChoice::PredictAdmitted(const Option& chosen, std::span<const Option> options, const RequestNeed& need, TimePoint now) const
 {
     Option o         = chosen;
--- a/tests/support_servers.h
+++ b/tests/support_servers.h
@@ -1,4 +1,4 @@
-// For tests of what routers believe of servers: entries of the list, and a time to count from.
+// Test support: entries of the server list, and a start time.
 #pragma once
 #include "process/server_directory.h"
 #include "support.h"
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -1,4 +1,4 @@
-// Taking and refusing requests, and when refused callers come back. The loads that these rules answer are replayed in test_load_patterns.cpp.
+// Tests of admission and retry delays. test_load_patterns.cpp replays the intended loads.
 #include "request/admission.h"
 #include "support.h"
 
@@ -9,16 +9,16 @@
 
 const TimePoint kStart = TimePoint{} + seconds(100);
 
-AdmissionNeed Need(bool came_back)
+AdmissionNeed Need(bool is_retry)
 {
     AdmissionNeed n;
     n.m_StrictestObjective = milliseconds(400);
     n.m_TimeToDeadline     = seconds(6);
-    n.m_IsRetry            = came_back;
+    n.m_IsRetry            = is_retry;
     return n;
 }
 
-// First attempts over four seconds, of which each n-th is refused; 0: none.
+// State after four seconds of first attempts of which each n-th is refused; 0: none.
 Admission After(unsigned nth_refused)
 {
     Admission a({});
@@ -29,16 +29,16 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_first_attempt_is_taken_while_it_is_predicted_to_be_in_time)
+BOOST_AUTO_TEST_CASE(a_first_attempt_is_admitted_while_it_is_predicted_to_be_in_time)
 {
     const AdmissionConfig cfg;
     const Admission       a(cfg);
-    const Duration        most = FromSeconds(0.4 * cfg.m_FirstAttemptShare);
-    BOOST_TEST(a.Admits(Need(false), most));
-    BOOST_TEST(!a.Admits(Need(false), most + milliseconds(1)));
+    const Duration        max_wait = FromSeconds(0.4 * cfg.m_FirstAttemptShare);
+    BOOST_TEST(a.Admits(Need(false), max_wait));
+    BOOST_TEST(!a.Admits(Need(false), max_wait + milliseconds(1)));
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_came_back_is_taken_late_while_few_are_refused_and_only_with_room_to_spare_while_many_are)
+BOOST_AUTO_TEST_CASE(a_retry_is_admitted_late_while_few_are_refused_and_only_with_spare_capacity_while_many_are)
 {
     const AdmissionConfig cfg;
     BOOST_TEST(After(0).Admits(Need(true), cfg.m_LenientRetryMax));
@@ -48,22 +48,22 @@
     BOOST_TEST(busy.Admits(Need(true), FromSeconds(0.4 * cfg.m_StrictRetryShare)));
 }
 
-// Streams that had begun were broken off in calm seconds: their servers were told to start other weights and cut what still ran, and no other server
-// took them. A router held them to what it asks of callers that come back, under half of the strictest objective while many are refused:
+// Guards against streams that are broken off in calm seconds: their server starts other weights and closes them, and no other server admits them
+// because they are treated as retries, which get under half of the strictest objective while many are refused. Logged as:
 //   AnswerBroken  cause closed, given_up no-server, events 15; the same line for twelve streams of one server within 20 ms
-// They were taken once; what they may wait is what their callers bear.
-BOOST_AUTO_TEST_CASE(a_request_that_was_taken_and_lost_its_server_is_taken_again_up_to_what_its_caller_bears)
+// They were admitted once, so the wait that their callers tolerate is the limit.
+BOOST_AUTO_TEST_CASE(a_request_that_lost_its_server_is_admitted_again_up_to_the_wait_that_its_caller_tolerates)
 {
     const Admission busy = After(2);
     AdmissionNeed   need = Need(true);
     need.m_ToleratedWait = milliseconds(1500);
     BOOST_TEST(busy.Admits(need, milliseconds(1500)));
     BOOST_TEST(!busy.Admits(need, milliseconds(1501)));
-    need.m_TimeToDeadline = milliseconds(700); // nobody waits past the deadline
+    need.m_TimeToDeadline = milliseconds(700); // no caller waits past its deadline
     BOOST_TEST(!busy.Admits(need, milliseconds(1000)));
 }
 
-BOOST_AUTO_TEST_CASE(callers_bear_the_longest_of_two_seconds_and_multiples_of_objective_and_pause)
+BOOST_AUTO_TEST_CASE(tolerated_pause_is_the_longest_of_two_seconds_and_multiples_of_objective_and_gap)
 {
     BOOST_TEST((MaxToleratedPause(milliseconds(400), milliseconds(200)) == seconds(2)));
     BOOST_TEST((MaxToleratedPause(milliseconds(600), milliseconds(200)) == milliseconds(2400)));
@@ -90,7 +90,7 @@
 
 BOOST_AUTO_TEST_CASE(properties_of_waits)
 {
-    ALDERVALE_PROPERTY("a refused caller is asked to wait within bounds, and never longer than its share of what it has left",
+    ALDERVALE_PROPERTY("a retry delay is within bounds, and never longer than its share of the time to the deadline",
                        []
                        {
                            const AdmissionConfig cfg;
@@ -107,7 +107,7 @@
                        });
 }
 
-BOOST_AUTO_TEST_CASE(while_many_are_refused_callers_stay_away_for_long_and_do_not_come_back_together)
+BOOST_AUTO_TEST_CASE(while_many_are_refused_retry_delays_are_long_and_spread)
 {
     const Admission busy = After(2);
     const Admission calm = After(0);
--- a/tests/test_engine_prediction.cpp
+++ b/tests/test_engine_prediction.cpp
@@ -1,4 +1,4 @@
-// Predicted times to a first event, beside those of the modelled engine.
+// Compares predicted times to a first event with those of the modelled engine.
 #include "emulator/engine_model.h"
 #include "request/engine_prediction.h"
 #include "support.h"
@@ -28,19 +28,19 @@
     return {in_flight, waiting, unread, 0};
 }
 
-// Time to the first event of a request that comes to a modelled engine on which `before` others have come, one each `apart`.
+// Time to the first event of a request at a modelled engine to which `before` other requests were submitted before, `apart` from each other.
 double TrueFirstMs(unsigned before, Duration apart)
 {
     EngineModel              engine(Costs());
     std::vector<EngineEvent> events;
     Duration                 now{};
-    unsigned                 came = 0;
+    unsigned                 submitted = 0;
     for (;;)
     {
-        for (; came <= before && apart * static_cast<int>(came) <= now; came++)
-            engine.Submit({came, 960, 120});
+        for (; submitted <= before && apart * static_cast<int>(submitted) <= now; submitted++)
+            engine.Submit({submitted, 960, 120});
         const Duration took = engine.RunPass(events);
-        now                 = took > Duration::zero() ? now + took : apart * static_cast<int>(came);
+        now                 = took > Duration::zero() ? now + took : apart * static_cast<int>(submitted);
         for (const EngineEvent& e : events)
             if (e.m_Id == before && e.m_Kind == EngineEventKind_First)
                 return 1000 * ToSeconds(now - apart * static_cast<int>(before));
@@ -50,7 +50,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(an_idle_engine_reads_the_prompt_and_plays_one_pass)
+BOOST_AUTO_TEST_CASE(an_idle_engine_reads_the_prompt_and_runs_one_pass)
 {
     BOOST_TEST(std::abs(FirstEventMs(Costs(), Load(0), 960) - TrueFirstMs(0, milliseconds(1))) < 10);
 }
@@ -66,7 +66,7 @@
     }
 }
 
-// Sent together to an empty engine, all prompts are unread: what this router knows of counts in full.
+// Requests sent together to an empty engine all have unread prompts, which must count in full.
 BOOST_AUTO_TEST_CASE(known_unread_prompts_count)
 {
     const double truth = TrueFirstMs(10, Duration::zero());
--- a/tests/test_place_line.cpp
+++ b/tests/test_place_line.cpp
@@ -1,4 +1,4 @@
-// Who gets the next place at a model server: the load that many routers that ask at once are.
+// Tests of the queue of claims for places at a model server. Guards against several routers that send to the same free place.
 #include "request/place_line.h"
 #include "support.h"
 
@@ -9,9 +9,9 @@
 
 const TimePoint kStart = TimePoint{} + seconds(100);
 
-PlaceClaim Wanted(const std::string& key, Duration wait, uint32_t most = 12)
+PlaceClaim MakeClaim(const std::string& key, Duration wait, uint32_t max_requests = 12)
 {
-    return {key, most, kStart + wait, 50};
+    return {key, max_requests, kStart + wait, 50};
 }
 
 PlaceReservations WithRunning(uint32_t running)
@@ -23,25 +23,25 @@
 
 } // namespace
 
-// Told that one place is free, several routers sent to it: 7 to 12 in 100 of these streams came too late behind each other.
+// Guards against several routers that send to one free place because each received a report of it: 7 to 12 in 100 of these streams were late.
 BOOST_AUTO_TEST_CASE(one_free_place_is_given_to_one_of_many_that_claim_it)
 {
     PlaceReservations places = WithRunning(11);
     PlaceQueue        queue;
     unsigned          granted = 0;
     for (int i = 0; i < 10; i++)
-        granted += queue.Claim(Wanted("r" + std::to_string(i), Duration::zero()), places, kStart) == ClaimAnswer_Granted ? 1 : 0;
+        granted += queue.Claim(MakeClaim("r" + std::to_string(i), Duration::zero()), places, kStart) == ClaimAnswer_Granted ? 1 : 0;
     BOOST_TEST(granted == 1u);
     BOOST_TEST(places.State(kStart).m_Promised == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(who_can_wait_least_gets_the_next_place_and_who_is_late_is_told)
+BOOST_AUTO_TEST_CASE(the_claim_that_expires_first_is_granted_first_and_an_expired_one_is_denied)
 {
     PlaceReservations places = WithRunning(12);
     PlaceQueue        queue;
-    BOOST_TEST(queue.Claim(Wanted("patient", milliseconds(80)), places, kStart) == ClaimAnswer_Queued);
-    BOOST_TEST(queue.Claim(Wanted("urgent", milliseconds(40)), places, kStart) == ClaimAnswer_Queued);
-    BOOST_TEST(queue.Claim(Wanted("third", milliseconds(80)), places, kStart) == ClaimAnswer_Denied); // the line is full
+    BOOST_TEST(queue.Claim(MakeClaim("patient", milliseconds(80)), places, kStart) == ClaimAnswer_Queued);
+    BOOST_TEST(queue.Claim(MakeClaim("urgent", milliseconds(40)), places, kStart) == ClaimAnswer_Queued);
+    BOOST_TEST(queue.Claim(MakeClaim("third", milliseconds(80)), places, kStart) == ClaimAnswer_Denied); // the queue is full
     BOOST_TEST(queue.Settle(places, kStart + milliseconds(10)).empty());
     const TimePoint at = kStart + milliseconds(20);
     places.OnReport(11, 0, at, at);
@@ -56,46 +56,46 @@
     BOOST_TEST(queue.Empty());
 }
 
-BOOST_AUTO_TEST_CASE(nobody_passes_those_in_line)
+BOOST_AUTO_TEST_CASE(a_new_claim_does_not_overtake_queued_ones)
 {
     PlaceReservations places = WithRunning(12);
     PlaceQueue        queue;
-    BOOST_TEST(queue.Claim(Wanted("first", milliseconds(80)), places, kStart) == ClaimAnswer_Queued);
+    BOOST_TEST(queue.Claim(MakeClaim("first", milliseconds(80)), places, kStart) == ClaimAnswer_Queued);
     places.OnReport(11, 0, kStart + milliseconds(1), kStart + milliseconds(1));
-    BOOST_TEST(queue.Claim(Wanted("late", Duration::zero()), places, kStart + milliseconds(1)) == ClaimAnswer_Denied);
+    BOOST_TEST(queue.Claim(MakeClaim("late", Duration::zero()), places, kStart + milliseconds(1)) == ClaimAnswer_Denied);
 }
 
 BOOST_AUTO_TEST_CASE(a_grant_that_is_given_back_is_free_again_with_its_reading_time)
 {
     PlaceReservations places = WithRunning(11);
     PlaceQueue        queue;
-    BOOST_TEST(queue.Claim(Wanted("a", Duration::zero()), places, kStart) == ClaimAnswer_Granted);
+    BOOST_TEST(queue.Claim(MakeClaim("a", Duration::zero()), places, kStart) == ClaimAnswer_Granted);
     BOOST_TEST(places.State(kStart).m_UnreadMs > 40);
     queue.Release("a", places, kStart + milliseconds(2));
     BOOST_TEST(places.State(kStart + milliseconds(2)).m_Promised == 0u);
     BOOST_TEST(places.State(kStart + milliseconds(2)).m_UnreadMs == 0);
-    queue.Release("a", places, kStart + milliseconds(3)); // twice does nothing
-    BOOST_TEST(queue.Claim(Wanted("b", Duration::zero()), places, kStart + milliseconds(3)) == ClaimAnswer_Granted);
+    queue.Release("a", places, kStart + milliseconds(3)); // a second release does nothing
+    BOOST_TEST(queue.Claim(MakeClaim("b", Duration::zero()), places, kStart + milliseconds(3)) == ClaimAnswer_Granted);
 }
 
-// Long after, its request is at the server: giving it back would promise the place to two.
+// By then the request of the grant is at the server: releasing the place would reserve it for two requests.
 BOOST_AUTO_TEST_CASE(a_release_that_comes_late_frees_nothing)
 {
     PlaceReservations places = WithRunning(11);
     PlaceQueue        queue;
-    BOOST_TEST(queue.Claim(Wanted("a", Duration::zero()), places, kStart) == ClaimAnswer_Granted);
+    BOOST_TEST(queue.Claim(MakeClaim("a", Duration::zero()), places, kStart) == ClaimAnswer_Granted);
     const TimePoint later = kStart + milliseconds(60);
     places.OnReport(12, 0, later, later);
     queue.Release("a", places, later);
-    BOOST_TEST(queue.Claim(Wanted("b", Duration::zero()), places, later) == ClaimAnswer_Denied);
+    BOOST_TEST(queue.Claim(MakeClaim("b", Duration::zero()), places, later) == ClaimAnswer_Denied);
 }
 
-BOOST_AUTO_TEST_CASE(a_server_that_takes_nothing_denies_its_whole_line)
+BOOST_AUTO_TEST_CASE(a_server_that_takes_no_requests_denies_its_whole_queue)
 {
     PlaceReservations places = WithRunning(12);
     PlaceQueue        queue;
-    queue.Claim(Wanted("a", milliseconds(80)), places, kStart);
-    queue.Claim(Wanted("b", milliseconds(80)), places, kStart);
+    queue.Claim(MakeClaim("a", milliseconds(80)), places, kStart);
+    queue.Claim(MakeClaim("b", milliseconds(80)), places, kStart);
     const std::vector<SettledClaim> all = queue.DenyAll();
     BOOST_TEST(all.size() == 2u);
     BOOST_TEST(!all[0].m_Granted);
@@ -109,13 +109,13 @@
                        {
                            PlaceReservations places = WithRunning(0);
                            PlaceQueue        queue;
-                           unsigned          here    = 0; // at the server, granted ones on their way included
+                           unsigned          here    = 0; // at the server, including granted ones on their way
                            unsigned          waiting = 0;
                            TimePoint         now     = kStart;
                            const int         steps   = *rc::gen::inRange(1, 200);
                            for (int i = 0; i < steps; i++)
                            {
-                               now += milliseconds(*rc::gen::inRange(11, 30)); // every grant's request is seen by the next report
+                               now += milliseconds(*rc::gen::inRange(11, 30)); // long enough for the next report to show the request of every grant
                                here -= std::min<unsigned>(here, static_cast<unsigned>(*rc::gen::inRange(0, 2)));
                                places.OnReport(here, 0, now, now);
                                for (const SettledClaim& s : queue.Settle(places, now))
--- a/tests/test_place_promise.cpp
+++ b/tests/test_place_promise.cpp
@@ -1,4 +1,4 @@
-// What a box knows of requests on their way to its server, and which boxes a router follows.
+// Tests of reserved places at a box's server, and of the selection of boxes that a router follows.
 #include "request/followed_boxes.h"
 #include "request/place_promise.h"
 #include "support.h"
@@ -12,7 +12,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(who_asks_next_is_told_of_the_place_that_was_taken)
+BOOST_AUTO_TEST_CASE(a_reserved_place_is_in_the_next_answer)
 {
     PlaceReservations p;
     p.OnReport(3, 1, kStart, kStart);
@@ -34,23 +34,23 @@
         BOOST_TEST(p.State(kStart).m_Promised == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(a_place_counts_until_a_report_shows_its_request_and_lapses_by_itself)
+BOOST_AUTO_TEST_CASE(a_reservation_counts_until_a_report_shows_its_request_and_expires_without_one)
 {
     PlaceReservations p;
     p.Take(100, kStart);
-    p.OnReport(0, 0, kStart + milliseconds(5), kStart + milliseconds(6)); // asked for before the request can have come
+    p.OnReport(0, 0, kStart + milliseconds(5), kStart + milliseconds(6)); // requested before the request can have arrived
     BOOST_TEST(p.State(kStart + milliseconds(6)).m_Promised == 1u);
     p.OnReport(1, 0, kStart + milliseconds(10), kStart + milliseconds(11));
     BOOST_TEST(p.State(kStart + milliseconds(11)).m_Promised == 0u);
     p.Take(100, kStart + milliseconds(30));
-    BOOST_TEST(p.State(kStart + milliseconds(81)).m_Promised == 0u); // no report came since
+    BOOST_TEST(p.State(kStart + milliseconds(81)).m_Promised == 0u); // expired without a report
 }
 
-BOOST_AUTO_TEST_CASE(an_empty_server_has_nothing_to_read_whatever_was_counted)
+BOOST_AUTO_TEST_CASE(an_empty_server_has_no_prompts_to_read)
 {
     PlaceReservations p;
     for (int i = 0; i < 5; i++)
-        p.Take(1000, kStart); // requests that never came
+        p.Take(1000, kStart); // requests that never arrive
     p.OnReport(0, 0, kStart + milliseconds(60), kStart + milliseconds(60));
     BOOST_TEST(p.State(kStart + milliseconds(60)).m_UnreadMs == 0);
     p.Take(1000, kStart + milliseconds(60));
@@ -61,12 +61,12 @@
 
 BOOST_AUTO_TEST_CASE(properties_of_places)
 {
-    ALDERVALE_PROPERTY("whatever the order, counts stay within what was taken, and all of it lapses",
+    ALDERVALE_PROPERTY("in any order of events, counts stay within what was reserved, and all reservations expire",
                        []
                        {
                            PlaceReservations p;
                            TimePoint         now   = kStart;
-                           double            read  = 0; // ms taken in all
+                           double            read  = 0; // total reading time of all reservations, ms
                            uint64_t          taken = 0;
                            for (int i = *rc::gen::inRange(0, 60); i > 0; i--)
                            {
@@ -94,24 +94,24 @@
     std::vector<KnownBox> boxes;
     for (unsigned i = 0; i < 200; i++)
         boxes.push_back({Endpoint{asio::ip::make_address("10.0.0." + std::to_string(i)), 7000}, "dc-" + std::to_string(i % 5)});
-    std::map<std::string, double> followers; // far ones, by box
+    std::map<std::string, double> followers; // estimated remote followers, by box
     for (unsigned r = 0; r < 150; r++)
     {
         const auto   followed = FollowedBoxes("router-" + std::to_string(r), "dc-" + std::to_string(r % 5), boxes);
         const size_t near     = static_cast<size_t>(std::count_if(followed.begin(), followed.end(), [](const FollowedBox& b) { return b.m_Near; }));
         BOOST_TEST(near == 40u);
         BOOST_TEST(followed.size() == 64u);
-        double stands = 0;
+        double represented = 0;
         for (const FollowedBox& b : followed)
         {
-            stands += b.m_Near ? 0 : 1 / b.m_Share;
+            represented += b.m_Near ? 0 : 1 / b.m_Share;
             if (!b.m_Near)
                 followers[b.m_At.ToString()] += 1 / b.m_Share;
         }
-        BOOST_TEST(stands == 160, boost::test_tools::tolerance(0.01));
+        BOOST_TEST(represented == 160, boost::test_tools::tolerance(0.01));
     }
     BOOST_TEST(followers.size() == 200u);
-    for (const auto& [at, routers] : followers) // what a box takes for the number of other data centres' routers
+    for (const auto& [at, routers] : followers) // a box's estimate of the number of routers in other data centres
         BOOST_TEST((routers > 30 && routers < 260), at << ": " << routers);
-    BOOST_TEST(FollowedBoxes("r", "dc-0", std::span(boxes).first(10)).size() == 10u); // small deployments: all
+    BOOST_TEST(FollowedBoxes("r", "dc-0", std::span(boxes).first(10)).size() == 10u); // a small deployment: all boxes are followed
 }
--- a/tests/test_return_guess.cpp
+++ b/tests/test_return_guess.cpp
@@ -1,4 +1,4 @@
-// Who is taken for a caller that was refused before. A replay of callers with limits of their own, and of callers that all have the route's.
+// Tests of the detection of retries, for callers with time limits of their own and for callers that all have the route's limit.
 #include "request/return_guess.h"
 #include "support.h"
 
@@ -10,23 +10,23 @@
 const TimePoint kStart = TimePoint{} + seconds(100);
 const Duration  kLimit = seconds(6);
 
-// `count` first attempts, 20 ms apart, whose limits are spread evenly over `spread` below the route's; how many were taken for returned ones.
+// `count` first attempts, 20 ms apart, whose limits are spread evenly over `spread` below the route's. Returns how many were mistaken for retries.
 unsigned FirstAttempts(RetryEstimate& g, TimePoint& now, unsigned count, Duration spread)
 {
-    unsigned taken_for_returned = 0;
+    unsigned mistaken = 0;
     for (unsigned i = 0; i < count; i++)
     {
         now += milliseconds(20);
         const Duration limit = kLimit - spread * (i * 37 % count) / count;
-        taken_for_returned += g.OnAttempt(kLimit, limit - milliseconds(3), now) ? 1 : 0;
+        mistaken += g.OnAttempt(kLimit, limit - milliseconds(3), now) ? 1 : 0;
     }
-    return taken_for_returned;
+    return mistaken;
 }
 
 } // namespace
 
-// 93 of 100 first attempts were taken for returned ones where callers' limits lie below the route's, each a little different, and none of them
-// counted. Here they lie up to 15 in 100 below it.
+// Guards against first attempts that are mistaken for retries: 93 in 100 were, and weren't counted, where callers' limits were below the route's
+// and slightly different. In this test they are up to 15 in 100 below it.
 BOOST_AUTO_TEST_CASE(callers_with_limits_of_their_own_are_not_taken_for_returned_ones)
 {
     RetryEstimate g;
@@ -38,7 +38,7 @@
     BOOST_TEST(g.WrongShare() > 0.9);
 }
 
-BOOST_AUTO_TEST_CASE(where_all_callers_have_the_routes_limit_one_with_less_was_here_before)
+BOOST_AUTO_TEST_CASE(where_all_callers_have_the_routes_limit_one_with_less_is_a_retry)
 {
     RetryEstimate g;
     TimePoint     now = kStart;
@@ -49,8 +49,8 @@
     BOOST_TEST(!g.OnAttempt(kLimit, kLimit - milliseconds(3), now + milliseconds(901)));
 }
 
-// What comes back during an overload says nothing about first attempts.
-BOOST_AUTO_TEST_CASE(callers_that_come_back_in_an_overload_do_not_spoil_the_guess)
+// Retries during an overload must not count against the estimate, which is about first attempts.
+BOOST_AUTO_TEST_CASE(retries_in_an_overload_do_not_invalidate_the_estimate)
 {
     RetryEstimate g;
     TimePoint     now = kStart;
@@ -64,8 +64,8 @@
     BOOST_TEST(g.Trusted());
 }
 
-// A router that started into an overload knows nothing of its callers.
-BOOST_AUTO_TEST_CASE(without_a_calm_time_nobody_is_taken_for_a_returned_caller)
+// A router that starts during an overload has no calm attempts to judge the estimate by.
+BOOST_AUTO_TEST_CASE(without_a_calm_time_no_attempt_counts_as_a_retry)
 {
     RetryEstimate g;
     g.OnRefused(kStart);
@@ -73,16 +73,16 @@
         BOOST_TEST(!g.OnAttempt(kLimit, seconds(4), kStart + milliseconds(20) * i));
 }
 
-BOOST_AUTO_TEST_CASE(properties_of_the_guess)
+BOOST_AUTO_TEST_CASE(properties_of_the_estimate)
 {
-    ALDERVALE_PROPERTY("only a caller with less than the route's limit is ever taken for a returned one",
+    ALDERVALE_PROPERTY("only an attempt with less time than the route's limit counts as a retry",
                        []
                        {
                            RetryEstimate g;
                            TimePoint     now = kStart;
                            FirstAttempts(g, now, 200, Duration::zero());
-                           const Duration left = milliseconds(*rc::gen::inRange(0, 8000));
-                           const bool     back = g.OnAttempt(kLimit, left, now);
-                           RC_ASSERT(!back || left < kLimit);
+                           const Duration left     = milliseconds(*rc::gen::inRange(0, 8000));
+                           const bool     is_retry = g.OnAttempt(kLimit, left, now);
+                           RC_ASSERT(!is_retry || left < kLimit);
                        });
 }
--- a/tests/test_route.cpp
+++ b/tests/test_route.cpp
@@ -1,4 +1,4 @@
-// Choice of a replica: cost, lag, warmth, baselines.
+// Tests of the choice of a replica: cost, age of reports, cached prefixes, other policies.
 #include "request/replica_table.h"
 #include "support.h"
 
@@ -73,19 +73,19 @@
 BOOST_AUTO_TEST_CASE(failures_distance_and_slow_start_cost)
 {
     ReplicaView  v;
-    const double base = RouteCost(v, {});
-    ReplicaView  far  = v;
-    far.m_Distance    = 2;
-    ReplicaView bad   = v;
-    bad.m_Failures    = 1;
-    ReplicaView young = v;
-    young.m_UsableFor = seconds(0);
-    BOOST_CHECK_GT(RouteCost(far, {}), base);
-    BOOST_CHECK_GT(RouteCost(bad, {}), base);
+    const double base   = RouteCost(v, {});
+    ReplicaView  remote = v;
+    remote.m_Distance   = 2;
+    ReplicaView failing = v;
+    failing.m_Failures  = 1;
+    ReplicaView young   = v;
+    young.m_UsableFor   = seconds(0);
+    BOOST_CHECK_GT(RouteCost(remote, {}), base);
+    BOOST_CHECK_GT(RouteCost(failing, {}), base);
     BOOST_CHECK_GT(RouteCost(young, {}), base);
 }
 
-// Found by the spread bench with live requests: while a rollout was under way, nobody was asked who still served the former version.
+// Guards against a rollout during which boxes that still serve the former version get no requests.
 BOOST_AUTO_TEST_CASE(boxes_of_every_declared_version_are_used_while_a_rollout_goes_on)
 {
     asio::io_context ioc;
--- a/tests/test_server_choice.cpp
+++ b/tests/test_server_choice.cpp
@@ -1,4 +1,4 @@
-// Choosing backend servers: prediction, refusals, failures.
+// Tests of the choice of backend servers: prediction, refusals, failures.
 #include "request/server_choice.h"
 #include "support_servers.h"
 #include <set>
@@ -93,7 +93,7 @@
     BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), kStart).m_InFlight == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(a_first_attempt_is_refused_when_no_server_is_in_time_and_a_returning_caller_is_taken)
+BOOST_AUTO_TEST_CASE(a_first_attempt_is_refused_when_no_server_is_in_time_and_a_retry_is_admitted)
 {
     const Service s = ModelService();
     const Fleet   fleet{{Entry("a", "model")}};
@@ -104,9 +104,9 @@
     BOOST_TEST(first.m_Server == nullptr);
     BOOST_TEST(ToMs(first.m_RetryAfter) > 0);
     BOOST_TEST((first.m_Predicted > need.m_Objective));
-    need.m_IsRetry    = true;
-    const Choice back = c.Choose(fleet.Candidates(), need, kStart);
-    BOOST_TEST(back.m_Server != nullptr);
+    need.m_IsRetry     = true;
+    const Choice retry = c.Choose(fleet.Candidates(), need, kStart);
+    BOOST_TEST(retry.m_Server != nullptr);
 }
 
 BOOST_AUTO_TEST_CASE(a_server_without_the_needed_weights_or_about_to_start_others_is_left_out)
@@ -125,7 +125,7 @@
     need.m_IsRetry                               = true;
     for (int i = 0; i < 20; i++)
         BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server->m_Id == "c");
-    c.OnReport("c", Load(0, 0, 0), kStart); // its box says that it holds nothing any more
+    c.OnReport("c", Load(0, 0, 0), kStart); // its box reports that it has no weights any more
     BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server == nullptr);
     BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Candidates == 0u);
 }
@@ -144,29 +144,29 @@
     }
 }
 
-// Seen on mixed days of the bench without a scale-out: callers that came back were always taken, and for 25 s every answer was late.
+// Guards against a lasting overload without new servers in which retries are always admitted: every answer was late for 25 s.
 BOOST_AUTO_TEST_CASE(in_a_lasting_overload_callers_that_come_back_are_held_to_the_objective_too)
 {
     const Service s = ModelService();
     const Fleet   fleet{{Entry("a", "model")}};
     ServerChoice  c({}, 1);
-    RequestNeed   back = Need(s);
-    back.m_IsRetry     = true;
-    TimePoint now      = kStart;
+    RequestNeed   retry = Need(s);
+    retry.m_IsRetry     = true;
+    TimePoint now       = kStart;
     c.OnReport("a", Load(4, 1), now);
-    BOOST_TEST(c.Choose(fleet.Candidates(), back, now).m_Server != nullptr); // a short one: better late than never
+    BOOST_TEST(c.Choose(fleet.Candidates(), retry, now).m_Server != nullptr); // no lasting overload yet: a late answer is better than none
     for (int i = 0; i < 60; i++)
     {
         now += milliseconds(50);
         c.OnReport("a", Load(4, 1), now);
         BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), now).m_Server == nullptr);
     }
-    BOOST_TEST(c.Choose(fleet.Candidates(), back, now).m_Server == nullptr);
+    BOOST_TEST(c.Choose(fleet.Candidates(), retry, now).m_Server == nullptr);
     c.OnReport("a", Load(0, 0), now);
-    BOOST_TEST(c.Choose(fleet.Candidates(), back, now).m_Server != nullptr);
+    BOOST_TEST(c.Choose(fleet.Candidates(), retry, now).m_Server != nullptr);
 }
 
-// Seen on trouble-2 of the bench: a stream was taken up at a server with older weights shortly before the deadline and began after it.
+// Guards against a stream that is resumed at a server with older weights shortly before the weights deadline and starts after it.
 BOOST_AUTO_TEST_CASE(a_request_that_would_wait_past_the_deadline_of_weights_does_not_go_to_older_ones)
 {
     const Service s = ModelService();
@@ -184,7 +184,7 @@
     BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server != nullptr);
 }
 
-// One by one, the last of them would get what all routers send, and what waits there would begin after the deadline.
+// If they dropped out one by one, the last server would get all routers' requests, and those that wait there would start after the deadline.
 BOOST_AUTO_TEST_CASE(servers_with_older_weights_drop_out_together)
 {
     const Service         s = ModelService();
@@ -235,10 +235,10 @@
     };
     BOOST_TEST(chosen(1, kStart + seconds(8)) == "new");
     BOOST_TEST(chosen(4, kStart + seconds(8)) == "old"); // all its slots are taken
-    BOOST_TEST(chosen(1, kStart + seconds(2)) == "old"); // the deadline is far: else the first servers with new weights would get all
+    BOOST_TEST(chosen(1, kStart + seconds(2)) == "old"); // far from the deadline: otherwise the first servers with new weights get all
 }
 
-// Seen on scale-1 of the bench: naming version 3 two seconds after version 2 put off the deadline of version 2.
+// Guards against a weights deadline that moves: declaring version 3 two seconds after version 2 postponed the deadline of version 2.
 BOOST_AUTO_TEST_CASE(a_newer_version_does_not_put_off_the_deadline_of_the_one_before)
 {
     const Service s = ModelService();
@@ -254,8 +254,8 @@
         BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server->m_Id == "two");
 }
 
-// A server may start again under the id that it had.
-BOOST_AUTO_TEST_CASE(what_was_known_of_a_lifetime_says_nothing_of_the_next_one)
+// A server may restart under the same id. State of the earlier incarnation must not be applied to the new one.
+BOOST_AUTO_TEST_CASE(state_of_an_incarnation_does_not_apply_to_the_next_one)
 {
     const Service s = ModelService();
     Fleet         fleet{{Entry("a", "model"), Entry("b", "model")}};
@@ -266,19 +266,19 @@
     c.OnReport({"b", 1000}, Load(1, 0), kStart);
     c.OnSent({"a", 1000}, 500, kStart);
     BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), kStart).m_Server->m_Id == "b");
-    c.OnReport({"a", 2000}, Load(0, 0), kStart); // started again: its slots and its failures are new
+    c.OnReport({"a", 2000}, Load(0, 0), kStart); // restarted: no load and no failures
     BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), kStart).m_Server->m_Id == "a");
     BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), kStart).m_InFlight == 0u);
-    c.OnReport({"a", 1000}, Load(4, 4), kStart); // a late report of the lifetime before
+    c.OnReport({"a", 1000}, Load(4, 4), kStart); // a late report of the earlier incarnation
     for (int i = 0; i < 8; i++)
-        c.OnEnd({"a", 1000}, ServerOutcome_Failed, 500, milliseconds(900), kStart); // and the ends of what it ran
+        c.OnEnd({"a", 1000}, ServerOutcome_Failed, 500, milliseconds(900), kStart); // outcomes of requests of the earlier incarnation
     BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), kStart).m_Server->m_Id == "a");
     const std::vector<ServerLife> tried = {{"a", 1000}};
     RequestNeed                   need  = Need(s);
     need.m_Tried                        = tried;
     fleet.m_Entries[0].m_BornMs         = 2000;
-    BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server->m_Id == "a"); // another lifetime was tried
-    fleet.m_Entries[0].m_BornMs = 0;                                              // it doesn't tell: the id alone counts
+    BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server->m_Id == "a"); // a different incarnation was tried
+    fleet.m_Entries[0].m_BornMs = 0;                                              // the entry has no start time: the id alone counts
     BOOST_TEST(c.Choose(fleet.Candidates(), need, kStart).m_Server->m_Id == "b");
 }
 
@@ -289,7 +289,7 @@
     ServerChoice  c({}, 1);
     c.OnReport("silent", Load(0, 0), kStart);
     LoadReport a = Load(1, 0);
-    a.m_Promised = 5; // that other routers were promised: more than its slots
+    a.m_Promised = 5; // places reserved by other routers: more than its slots
     a.m_UnreadMs = 300;
     LoadReport b = Load(3, 0);
     b.m_UnreadMs = 0;
@@ -302,7 +302,7 @@
     BOOST_TEST(x.m_Server->m_Id == "b");
     BOOST_TEST(x.m_Candidates == 2u);
     BOOST_TEST(x.m_InFlight == 3u);
-    const Choice late = c.Choose(fleet.Candidates(), need, kStart + seconds(1)); // answers are good for milliseconds
+    const Choice late = c.Choose(fleet.Candidates(), need, kStart + seconds(1)); // answers are valid for milliseconds
     BOOST_TEST(late.m_Candidates == 0u);
 }
 
@@ -327,7 +327,7 @@
             asked.push_back(e->Life());
         }
     }
-    BOOST_TEST(ids.size() == 40u); // all of them in the end
+    BOOST_TEST(ids.size() == 40u); // every box was asked
     for (int i = 1; i < 40; i++)
         c.OnNoAnswer("s" + std::to_string(i), kStart);
     int first = 0;
@@ -341,10 +341,10 @@
                 first++;
             }
     }
-    BOOST_TEST(first > 20); // drawn in 12 of 30
+    BOOST_TEST(first > 20); // is in the sample of 12 out of 30
 }
 
-// Whatever the views, another router's place is never taken twice: who asks later is told of it.
+// A box may answer while its server can't take a request.
 BOOST_AUTO_TEST_CASE(a_box_that_starts_other_weights_or_holds_none_is_not_taken_though_it_answers)
 {
     const Service s = ModelService();
@@ -393,7 +393,7 @@
     const Service s = PlainService();
     const Fleet   fleet{{Entry("a", "plain"), Entry("b", "plain", "dc-2")}};
     ServerChoice  c({}, 1);
-    BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), kStart).m_Server->m_Id == "a"); // the own data centre's
+    BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), kStart).m_Server->m_Id == "a"); // of the own data centre
     for (int i = 0; i < 8; i++)
     {
         c.OnSent("a", 0, kStart);
@@ -408,12 +408,12 @@
     BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), kStart).m_Server->m_Id == "a");
 }
 
-// A server that has just been started looks empty to everybody until its next report.
+// Guards against overload of a newly started server, which looks empty to all routers until its next report.
 BOOST_AUTO_TEST_CASE(routers_that_share_a_stale_view_do_not_all_send_to_the_server_that_looks_best)
 {
     constexpr int kRouters  = 12;
     constexpr int kServers  = 12;
-    constexpr int kRequests = 48; // in a tenth of a second, by turns
+    constexpr int kRequests = 48; // in a tenth of a second, from each router in turn
     const Service s         = ModelService();
     Fleet         fleet;
     for (int i = 0; i < kServers; i++)
@@ -431,10 +431,10 @@
                 r.OnReport("s" + std::to_string(i), load, now);
             }
     };
-    std::vector<std::pair<ServerChoice*, std::string>> sent; // since the last report
+    std::vector<std::pair<ServerChoice*, std::string>> sent; // requests sent since the last report
     TimePoint                                          now      = kStart;
     int                                                to_empty = 0;
-    for (int k = 0; k < 20 * kRequests; k++) // the rate is known after a while
+    for (int k = 0; k < 20 * kRequests; k++) // routers need some time to estimate the rate
     {
         if (k % kRequests == 0)
         {
@@ -453,8 +453,8 @@
         router.OnSent(x.m_Server->m_Id, 500, now);
         sent.emplace_back(&router, x.m_Server->m_Id);
     }
-    BOOST_TEST(to_empty > 0);             // it is empty, after all
-    BOOST_TEST(to_empty < kRequests / 3); // but not what all routers have
+    BOOST_TEST(to_empty > 0);             // the empty server gets some requests
+    BOOST_TEST(to_empty < kRequests / 3); // but not those of all routers
 }
 
 BOOST_AUTO_TEST_CASE(a_server_that_reports_nothing_is_left_alone_while_others_report)
@@ -464,7 +464,7 @@
     ServerChoice  c({}, 1);
     c.OnReport("busy", Load(3, 0), kStart);
     BOOST_TEST(c.Choose(fleet.Candidates(), Need(s), kStart).m_Server->m_Id == "busy");
-    const TimePoint later = kStart + seconds(5); // nobody reports any more: all are candidates alike
+    const TimePoint later = kStart + seconds(5); // no server has a fresh report any more: all are candidates
     BOOST_TEST((c.Choose(fleet.Candidates(), Need(s), later).m_Server != nullptr));
 }
 
@@ -486,12 +486,12 @@
         c.OnEnd("slow", ServerOutcome_Slow, 500, seconds(2), kStart);
     }
     BOOST_TEST(chosen(kStart + milliseconds(100)) == "busy");
-    BOOST_TEST(chosen(kStart + seconds(20)) == "slow"); // nothing was sent there meanwhile that could have gone well
+    BOOST_TEST(chosen(kStart + seconds(20)) == "slow"); // without a successful request in between: failures decay
 }
 
 BOOST_AUTO_TEST_CASE(properties_of_choices)
 {
-    ALDERVALE_PROPERTY("a chosen server is a candidate that was not tried, and a refusal says when to come back",
+    ALDERVALE_PROPERTY("a chosen server is a candidate that was not tried, and a refusal has a retry delay within bounds",
                        []
                        {
                            const Service s = *rc::gen::arbitrary<bool>() ? ModelService() : PlainService();
