--- a/src/programs/platform_router.cpp
+++ b/src/programs/platform_router.cpp
@@ -105,8 +105,8 @@
         n.m_OriginMbps        = origin->m_Mbps;
         n.m_OriginConnections = origin->m_MaxConnections;
     }
-    const auto named = world.m_Weights.find(n.m_Model);
-    if (named == world.m_Weights.end() || named->second.empty())
+    const auto named = world.m_TargetVersions.find(n.m_Model);
+    if (named == world.m_TargetVersions.end() || named->second.empty())
         return n;
     const auto& [version, naming] = *named->second.rbegin();
     n.m_Version                   = version;
@@ -193,10 +193,10 @@
 void OnBelief(Router& r)
 {
     DeclarationsBelief& b = r.m_World.m_Belief;
-    b.m_Held              = r.m_Peers->Spread().Held();
-    b.m_Heard             = r.m_Peers->Spread().Heard();
-    b.m_CheckedAt         = r.m_Peers->Spread().CheckedAt();
-    r.m_Lag.Note(b.m_Held, b.m_Heard, Now());
+    b.m_HeldRow           = r.m_Peers->Spread().Held();
+    b.m_NewestRow         = r.m_Peers->Spread().Heard();
+    b.m_ConfirmedAt       = r.m_Peers->Spread().CheckedAt();
+    r.m_Lag.Note(b.m_HeldRow, b.m_NewestRow, Now());
 }
 
 void LookAtLag(Router& r, TimePoint now)
@@ -205,11 +205,11 @@
     if (turn == LagTurn_None)
         return;
     const DeclarationsBelief& b = r.m_World.m_Belief;
-    LogEvent(turn == LagTurn_Behind ? Event_DeclarationsBehind : Event_DeclarationsCaughtUp, {{"held", b.m_Held},
-                                                                                              {"heard", b.m_Heard},
-                                                                                              {"from", b.m_From},
+    LogEvent(turn == LagTurn_Behind ? Event_DeclarationsBehind : Event_DeclarationsCaughtUp, {{"held", b.m_HeldRow},
+                                                                                              {"heard", b.m_NewestRow},
+                                                                                              {"from", b.m_Source},
                                                                                               {"behind_ms", ToMs(r.m_Lag.Worst())},
-                                                                                              {"checked_age_ms", AgeOrNever(b.m_CheckedAt, now)}});
+                                                                                              {"checked_age_ms", AgeOrNever(b.m_ConfirmedAt, now)}});
 }
 
 // What changes by itself, as of now.
@@ -225,10 +225,10 @@
     const DeclarationsBelief& b        = r.m_World.m_Belief;
     const TimePoint           now      = Now();
     declared.Set(r.m_World.m_Routes ? static_cast<double>(r.m_World.m_Routes->Version()) : 0);
-    held.Set(static_cast<double>(b.m_Held));
-    heard.Set(static_cast<double>(b.m_Heard));
+    held.Set(static_cast<double>(b.m_HeldRow));
+    heard.Set(static_cast<double>(b.m_NewestRow));
     reading.Set(r.m_Peers->Reading() ? 1 : 0);
-    checked.Set(b.m_CheckedAt == TimePoint{} ? -1 : ToSeconds(now - b.m_CheckedAt));
+    checked.Set(b.m_ConfirmedAt == TimePoint{} ? -1 : ToSeconds(now - b.m_ConfirmedAt));
     if (r.m_List)
         list.Set(ToSeconds(r.m_List->CheckedAge(now)));
     behind.Set(ToSeconds(r.m_Lag.Behind(now)));
--- a/src/request/direct_serve.cpp
+++ b/src/request/direct_serve.cpp
@@ -167,7 +167,7 @@
         return Deny(call, 404, "no route");
     if (call.m_Routes->NeedsKey(*call.m_Route))
     {
-        call.m_Account = call.m_Routes->FindAccount(call.m_Caller.m_Key);
+        call.m_Account = call.m_Routes->FindAccount(call.m_Caller.m_ApiKey);
         if (call.m_Account == nullptr)
             return Deny(call, 401, "unknown key");
     }
@@ -191,8 +191,8 @@
 std::vector<WeightsDeadline> DirectServe::Impl::WeightsDeadlines(const Call& call) const
 {
     std::vector<WeightsDeadline> out;
-    const auto                   it = call.m_Service->m_Engine ? m_World.m_Weights.find(call.m_Service->m_Engine->m_Model) : m_World.m_Weights.end();
-    if (it == m_World.m_Weights.end())
+    const auto it = call.m_Service->m_Engine ? m_World.m_TargetVersions.find(call.m_Service->m_Engine->m_Model) : m_World.m_TargetVersions.end();
+    if (it == m_World.m_TargetVersions.end())
         return out;
     for (const auto& [version, naming] : it->second)
         out.push_back({version, naming.m_At + FromMs(m_Settings.m_WeightsDeadlineMs)});
@@ -272,7 +272,7 @@
 bool DirectServe::Impl::MayLookOn(const Call& call, TimePoint now) const
 {
     const bool refused = call.m_GivenUp == GivenUp_NoServer || call.m_GivenUp == GivenUp_Budget;
-    const bool bears   = now - call.m_EventAt < LongestPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap);
+    const bool bears   = now - call.m_EventAt < MaxToleratedPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap);
     return refused && bears && call.m_HeadSent && call.m_Paused.empty() && call.m_Route->MayRepeat() && call.Left(now) > kMinLeft + kLookLost;
 }
 
@@ -415,8 +415,8 @@
                                     {"granted", call.m_Granted},
                                     {"claim_ms", ToMsReal(call.m_ClaimTook)},
                                     {"goal_ms", call.m_Route != nullptr ? ToMs(call.m_Route->m_Goal) : -1},
-                                    {"came_back", call.m_CameBack},
-                                    {"prompt", call.m_Caller.m_Prompt},
+                                    {"came_back", call.m_IsRetry},
+                                    {"prompt", call.m_Caller.m_PromptTokens},
                                     {"events", call.m_Events},
                                     {"first_ms", call.m_FirstAt == TimePoint{} ? -1 : ToMs(call.m_FirstAt - call.m_StartedAt)},
                                     {"gap_ms", ms(call.m_WorstGap)},
--- a/tests/test_routing_world.cpp
+++ b/tests/test_routing_world.cpp
@@ -13,7 +13,7 @@
 
 TimePoint NamedAt(RoutingWorld& world, uint64_t version)
 {
-    return world.m_Weights[kModel].at(version).m_At;
+    return world.m_TargetVersions[kModel].at(version).m_At;
 }
 
 } // namespace
@@ -48,7 +48,7 @@
     NoteNamed(world, kModel, 3, {kStart - seconds(1), true});
     const NamedAge there[] = {{2, 4000}, {3, 1000}};
     NoteReported(world, kModel, there, kDeadline, kStart);
-    BOOST_REQUIRE(world.m_Weights[kModel].contains(2));
+    BOOST_REQUIRE(world.m_TargetVersions[kModel].contains(2));
     BOOST_TEST((NamedAt(world, 2) == kStart - seconds(4)));
     BOOST_TEST((NamedAt(world, 3) == kStart - seconds(1)));
 }
@@ -58,7 +58,7 @@
     RoutingWorld world;
     NoteNamed(world, kModel, 3, {kStart, true});
     BOOST_TEST(!NoteNamed(world, kModel, 2, AssumedNaming(kStart, kDeadline)));
-    BOOST_TEST(!world.m_Weights[kModel].contains(2));
+    BOOST_TEST(!world.m_TargetVersions[kModel].contains(2));
 }
 
 BOOST_AUTO_TEST_CASE(only_the_newest_versions_are_remembered_and_old_ones_do_not_come_back)
@@ -66,11 +66,11 @@
     RoutingWorld world;
     for (uint64_t v = 2; v < 30; v++)
         NoteNamed(world, kModel, v, {kStart, true});
-    const size_t kept = world.m_Weights[kModel].size();
+    const size_t kept = world.m_TargetVersions[kModel].size();
     BOOST_TEST(kept < 28u);
     BOOST_TEST(!NoteNamed(world, kModel, 2, {kStart, true}));
-    BOOST_TEST(world.m_Weights[kModel].size() == kept);
-    BOOST_TEST(!world.m_Weights[kModel].contains(2));
+    BOOST_TEST(world.m_TargetVersions[kModel].size() == kept);
+    BOOST_TEST(!world.m_TargetVersions[kModel].contains(2));
 }
 
 BOOST_AUTO_TEST_CASE(declarations_are_doubted_while_a_newer_row_is_known_or_nobody_has_confirmed_them_for_long)
