--- a/src/process/resource_api.cpp
+++ b/src/process/resource_api.cpp
@@ -312,7 +312,7 @@
     const ConfigPtr               c = m_Node.Config();
     for (const auto& [name, s] : c->m_Services)
         allowed[name] = 1.0 - s.m_Spec.m_SloTarget;
-    RateBurn(rows, allowed);
+    AddBurnRates(rows, allowed);
     co_return JsonResponse(200, json::object{{"routers", all.size()}, {"rows", rows}});
 }
 
--- a/src/programs/crash_share.cpp
+++ b/src/programs/crash_share.cpp
@@ -26,7 +26,7 @@
     auto out     = std::make_unique<wire::CrashRecordT>();
     out->request = r.m_Request;
     for (const ObservedCrash& c : r.m_Crashes)
-        out->crashes.emplace_back(c.m_Life, AgeMs(now, c.m_At), c.m_Cleared);
+        out->crashes.emplace_back(c.m_IncarnationHash, AgeMs(now, c.m_At), c.m_Cleared);
     out->trial_age_ms = r.m_TrialAt == TimePoint{} ? -1 : static_cast<int64_t>(AgeMs(now, r.m_TrialAt));
     return out;
 }
--- a/src/programs/limit_share.cpp
+++ b/src/programs/limit_share.cpp
@@ -17,7 +17,7 @@
 {
     wire::LimitNewsT news;
     for (const LimitChange& c : changes)
-        news.limits.emplace_back(c.m_Life, c.m_RequestsPerS ? static_cast<float>(*c.m_RequestsPerS) : kNoLimit);
+        news.limits.emplace_back(c.m_IncarnationHash, c.m_RequestsPerS ? static_cast<float>(*c.m_RequestsPerS) : kNoLimit);
     return news;
 }
 
--- a/src/programs/platform_router.cpp
+++ b/src/programs/platform_router.cpp
@@ -37,7 +37,7 @@
 struct Router // lives as long as the process
 {
     RouterSettings                     m_Settings;             //
-    RoutingWorld                       m_World;                //
+    RoutingState                       m_World;                //
     platform::RequestHeaders           m_Protocol;             //
     std::unique_ptr<PlatformTables>    m_Tables;               //
     bool                               m_OperatorRead = false; // the operators' table was read once, here or by who gave it
@@ -94,7 +94,7 @@
 }
 
 // What the boxes of a model service need to know of it.
-ModelNaming NamingOf(const RoutingWorld& world, const Service& s)
+ModelNaming NamingOf(const RoutingState& world, const Service& s)
 {
     ModelNaming n;
     n.m_Service = s.m_Name;
@@ -105,12 +105,12 @@
         n.m_OriginMbps        = origin->m_Mbps;
         n.m_OriginConnections = origin->m_MaxConnections;
     }
-    const auto named = world.m_Weights.find(n.m_Model);
-    if (named == world.m_Weights.end() || named->second.empty())
+    const auto named = world.m_TargetVersions.find(n.m_Model);
+    if (named == world.m_TargetVersions.end() || named->second.empty())
         return n;
     const auto& [version, naming] = *named->second.rbegin();
     n.m_Version                   = version;
-    n.m_At                        = naming.m_Sure ? naming.m_At : TimePoint{};
+    n.m_At                        = naming.m_Observed ? naming.m_At : TimePoint{};
     return n;
 }
 
@@ -143,8 +143,8 @@
     const uint64_t before = r.m_World.m_Routes ? r.m_World.m_Routes->Version() : 0;
     if (spec.m_Version <= before)
         return;
-    r.m_World.m_Routes   = std::make_shared<const RouteTable>(spec);
-    r.m_World.m_RoutesAt = Now();
+    r.m_World.m_Routes           = std::make_shared<const RouteTable>(spec);
+    r.m_World.m_RoutesReceivedAt = Now();
     ApplyLimits(r, spec);
     FollowBoxes(r);
     r.m_Loads->SetDeclared(spec.m_Version);
@@ -152,8 +152,8 @@
     LogEvent(Event_DeclarationsInForce, {{"version", spec.m_Version},
                                          {"before", before},
                                          {"row_version", row_version},
-                                         {"held", r.m_World.m_Belief.m_Held},
-                                         {"from", r.m_World.m_Belief.m_From},
+                                         {"held", r.m_World.m_Freshness.m_HeldRow},
+                                         {"from", r.m_World.m_Freshness.m_Source},
                                          {"learned_age_ms", AgeOrNever(r.m_LearnedAt, Now())},
                                          {"routes", spec.m_Routes.size()},
                                          {"accounts", spec.m_Accounts.size()}});
@@ -162,9 +162,9 @@
 void OnNamed(Router& r, const platform::NamedWeights& named)
 {
     // Before the first read is over, what it tells may have been named at any time.
-    const Duration deadline = FromMs(r.m_Settings.m_Serve.m_WeightsDeadlineMs);
-    const Naming   naming   = r.m_OperatorRead ? Naming{r.m_LearnedAt, true} : AssumedNaming(Now(), deadline);
-    const bool     news     = NoteNamed(r.m_World, named.m_Model, named.m_Version, naming);
+    const Duration        deadline = FromMs(r.m_Settings.m_Serve.m_WeightsDeadlineMs);
+    const DeclarationTime naming   = r.m_OperatorRead ? DeclarationTime{r.m_LearnedAt, true} : AssumeDeclarationTime(Now(), deadline);
+    const bool            news     = RecordTargetVersion(r.m_World, named.m_Model, named.m_Version, naming);
     if (news)
         TellBoxes(r);
 }
@@ -176,7 +176,7 @@
     static HistogramMetric& delay       = Metrics().GetHistogram("aldervale_declarations_delay_seconds");
     const bool              first       = !r.m_World.m_Routes; // may have been learned at any time before this process started
     r.m_LearnedAt                       = rows.m_LearnedAt;
-    r.m_World.m_Belief.m_From           = rows.m_From;
+    r.m_World.m_Freshness.m_Source      = rows.m_From;
     r.m_Tables->UseOperatorRows(rows.m_Rows);
     (rows.m_From == kFromStore ? from_store : from_router).Add(1);
     if (!first)
@@ -192,11 +192,11 @@
 
 void OnBelief(Router& r)
 {
-    DeclarationsBelief& b = r.m_World.m_Belief;
-    b.m_Held              = r.m_Peers->Spread().Held();
-    b.m_Heard             = r.m_Peers->Spread().Heard();
-    b.m_CheckedAt         = r.m_Peers->Spread().CheckedAt();
-    r.m_Lag.Note(b.m_Held, b.m_Heard, Now());
+    DeclarationsFreshness& b = r.m_World.m_Freshness;
+    b.m_HeldRow              = r.m_Peers->Spread().Held();
+    b.m_NewestRow            = r.m_Peers->Spread().Heard();
+    b.m_ConfirmedAt          = r.m_Peers->Spread().CheckedAt();
+    r.m_Lag.Note(b.m_HeldRow, b.m_NewestRow, Now());
 }
 
 void LookAtLag(Router& r, TimePoint now)
@@ -204,31 +204,31 @@
     const LagTurn turn = r.m_Lag.Look(now);
     if (turn == LagTurn_None)
         return;
-    const DeclarationsBelief& b = r.m_World.m_Belief;
-    LogEvent(turn == LagTurn_Behind ? Event_DeclarationsBehind : Event_DeclarationsCaughtUp, {{"held", b.m_Held},
-                                                                                              {"heard", b.m_Heard},
-                                                                                              {"from", b.m_From},
+    const DeclarationsFreshness& b = r.m_World.m_Freshness;
+    LogEvent(turn == LagTurn_Behind ? Event_DeclarationsBehind : Event_DeclarationsCaughtUp, {{"held", b.m_HeldRow},
+                                                                                              {"heard", b.m_NewestRow},
+                                                                                              {"from", b.m_Source},
                                                                                               {"behind_ms", ToMs(r.m_Lag.Worst())},
-                                                                                              {"checked_age_ms", AgeOrNever(b.m_CheckedAt, now)}});
+                                                                                              {"checked_age_ms", AgeOrNever(b.m_ConfirmedAt, now)}});
 }
 
 // What changes by itself, as of now.
 void Measure(const Router& r)
 {
-    static Gauge&             declared = Metrics().GetGauge("aldervale_declarations_version");
-    static Gauge&             held     = Metrics().GetGauge("aldervale_declarations_row_held");
-    static Gauge&             heard    = Metrics().GetGauge("aldervale_declarations_row_heard");
-    static Gauge&             reading  = Metrics().GetGauge("aldervale_declarations_reads_store");
-    static Gauge&             checked  = Metrics().GetGauge("aldervale_declarations_checked_age_seconds"); // -1: never
-    static Gauge&             list     = Metrics().GetGauge("aldervale_servers_checked_age_seconds");
-    static Gauge&             behind   = Metrics().GetGauge("aldervale_declarations_behind_seconds");
-    const DeclarationsBelief& b        = r.m_World.m_Belief;
-    const TimePoint           now      = Now();
+    static Gauge&                declared = Metrics().GetGauge("aldervale_declarations_version");
+    static Gauge&                held     = Metrics().GetGauge("aldervale_declarations_row_held");
+    static Gauge&                heard    = Metrics().GetGauge("aldervale_declarations_row_heard");
+    static Gauge&                reading  = Metrics().GetGauge("aldervale_declarations_reads_store");
+    static Gauge&                checked  = Metrics().GetGauge("aldervale_declarations_checked_age_seconds"); // -1: never
+    static Gauge&                list     = Metrics().GetGauge("aldervale_servers_checked_age_seconds");
+    static Gauge&                behind   = Metrics().GetGauge("aldervale_declarations_behind_seconds");
+    const DeclarationsFreshness& b        = r.m_World.m_Freshness;
+    const TimePoint              now      = Now();
     declared.Set(r.m_World.m_Routes ? static_cast<double>(r.m_World.m_Routes->Version()) : 0);
-    held.Set(static_cast<double>(b.m_Held));
-    heard.Set(static_cast<double>(b.m_Heard));
+    held.Set(static_cast<double>(b.m_HeldRow));
+    heard.Set(static_cast<double>(b.m_NewestRow));
     reading.Set(r.m_Peers->Reading() ? 1 : 0);
-    checked.Set(b.m_CheckedAt == TimePoint{} ? -1 : ToSeconds(now - b.m_CheckedAt));
+    checked.Set(b.m_ConfirmedAt == TimePoint{} ? -1 : ToSeconds(now - b.m_ConfirmedAt));
     if (r.m_List)
         list.Set(ToSeconds(r.m_List->CheckedAge(now)));
     behind.Set(ToSeconds(r.m_Lag.Behind(now)));
@@ -260,7 +260,7 @@
 {
     if (!changed)
         return;
-    r.m_World.m_ServersKnown = true;
+    r.m_World.m_ServerListRead = true;
     FollowBoxes(r);
     r.m_Serve->OnServersChanged();
 }
@@ -329,7 +329,7 @@
 DaemonHooks MakeHooks(Router& r)
 {
     DaemonHooks hooks;
-    hooks.m_Ready   = [&r] { return r.m_World.m_Routes && r.m_World.m_ServersKnown; };
+    hooks.m_Ready   = [&r] { return r.m_World.m_Routes && r.m_World.m_ServerListRead; };
     hooks.m_Drain   = [&r] { r.m_Http->CloseAfterAnswer(); };
     hooks.m_Drained = [&r, since = std::make_shared<TimePoint>()]
     {
--- a/src/request/crash_detector.cpp
+++ b/src/request/crash_detector.cpp
@@ -8,18 +8,18 @@
 namespace
 {
 
-constexpr auto kCheckDelay = milliseconds(50);  // the other connections of an exiting process break within this time
-constexpr auto kConnectMax = milliseconds(300); // a refusal takes one round trip
+constexpr auto kCheckDelay     = milliseconds(50);  // the other connections of an exiting process break within this time
+constexpr auto kConnectTimeout = milliseconds(300); // a refusal takes one round trip
 
 // Other failures to connect say nothing of the server: this process may be out of descriptors, or the network may be unreachable.
-awaitable<bool> Refuses(Endpoint address)
+awaitable<bool> IsConnectionRefused(Endpoint address)
 {
     using namespace asio::experimental::awaitable_operators;
     const asio::any_io_executor ex = co_await asio::this_coro::executor;
     tcp::socket                 socket(ex);
-    asio::steady_timer          limit(ex, kConnectMax);
+    asio::steady_timer          timeout(ex, kConnectTimeout);
     const auto result = co_await (socket.async_connect(tcp::endpoint(address.m_Address, address.m_Port), asio::as_tuple(asio::use_awaitable)) ||
-                                  limit.async_wait(asio::as_tuple(asio::use_awaitable)));
+                                  timeout.async_wait(asio::as_tuple(asio::use_awaitable)));
     co_return result.index() == 0 && std::get<0>(std::get<0>(result)) == asio::error::connection_refused;
 }
 
@@ -31,22 +31,22 @@
     return it != m_Pending.end() && it->first.first == server;
 }
 
-void CrashDetector::OnConnectionLost(const ServerLife& life, const Endpoint& address, InterruptedRequest request)
+void CrashDetector::OnConnectionLost(const ServerLife& incarnation, const Endpoint& address, InterruptedRequest request)
 {
-    const auto [it, inserted] = m_Pending.try_emplace({life.m_Id, life.m_BornMs});
+    const auto [it, inserted] = m_Pending.try_emplace({incarnation.m_Id, incarnation.m_BornMs});
     it->second.push_back(std::move(request));
     if (inserted)
         asio::co_spawn(
-            m_Ioc, [this, life, address] { return CheckServer(life, address); }, asio::detached);
+            m_Ioc, [this, incarnation, address] { return CheckServer(incarnation, address); }, asio::detached);
 }
 
-awaitable<void> CrashDetector::CheckServer(ServerLife life, Endpoint address)
+awaitable<void> CrashDetector::CheckServer(ServerLife incarnation, Endpoint address)
 {
     co_await SleepFor(kCheckDelay);
-    const bool refused = co_await Refuses(address);
-    const auto pending = m_Pending.extract({life.m_Id, life.m_BornMs});
+    const bool refused = co_await IsConnectionRefused(address);
+    const auto pending = m_Pending.extract({incarnation.m_Id, incarnation.m_BornMs});
     if (refused)
-        m_Handler({life, pending.mapped()});
+        m_Handler({incarnation, pending.mapped()});
 }
 
 } // namespace aldervale
--- a/src/request/crash_detector.h
+++ b/src/request/crash_detector.h
@@ -7,7 +7,7 @@
 //
 // Usage:
 //   CrashDetector d(ioc, [](const ServerCrash& crash) { ... }); // called only for crashed servers
-//   d.OnConnectionLost(life, address, {request_id, content_hash});
+//   d.OnConnectionLost(incarnation, address, {request_id, content_hash});
 
 #pragma once
 #include "common/server_life.h"
@@ -36,11 +36,11 @@
 
     CrashDetector(asio::io_context& ioc, Handler handler) : m_Ioc(ioc), m_Handler(std::move(handler)) {}
 
-    void OnConnectionLost(const ServerLife& life, const Endpoint& address, InterruptedRequest request); // before the answer was complete
-    bool CheckPending(std::string_view server) const;                                                   // for a server with this id
+    void OnConnectionLost(const ServerLife& incarnation, const Endpoint& address, InterruptedRequest request); // before the answer was complete
+    bool CheckPending(std::string_view server) const;                                                          // for a server with this id
 
 private:
-    awaitable<void> CheckServer(ServerLife life, Endpoint address);
+    awaitable<void> CheckServer(ServerLife incarnation, Endpoint address);
 
     using ServerKey = std::pair<std::string, int64_t>; // id and start time
 
--- a/src/request/crash_history.cpp
+++ b/src/request/crash_history.cpp
@@ -29,9 +29,10 @@
     crashes.erase(cleared == crashes.end() ? crashes.begin() : cleared);
 }
 
-bool AddCrash(CrashRecord& r, const ObservedCrash& crash)
+bool MergeCrash(CrashRecord& r, const ObservedCrash& crash)
 {
-    const auto known = std::find_if(r.m_Crashes.begin(), r.m_Crashes.end(), [&](const ObservedCrash& c) { return c.m_Life == crash.m_Life; });
+    const auto known =
+        std::find_if(r.m_Crashes.begin(), r.m_Crashes.end(), [&](const ObservedCrash& c) { return c.m_IncarnationHash == crash.m_IncarnationHash; });
     if (known != r.m_Crashes.end())
     {
         const bool changed = crash.m_Cleared && !known->m_Cleared;
@@ -48,7 +49,7 @@
     return true;
 }
 
-bool AddTrial(CrashRecord& r, TimePoint at)
+bool MergeTrial(CrashRecord& r, TimePoint at)
 {
     const bool changed = at != TimePoint{} && (r.m_TrialAt == TimePoint{} || at > r.m_TrialAt + kSameTrialWindow);
     if (changed)
@@ -83,10 +84,10 @@
     m_Records.erase(std::min_element(m_Records.begin(), m_Records.end(), before));
 }
 
-void CrashHistory::OnCrash(uint64_t request, uint64_t life, TimePoint now)
+void CrashHistory::OnCrash(uint64_t request, uint64_t incarnation, TimePoint now)
 {
     Entry& entry = FindOrAdd(request, now);
-    if (AddCrash(entry.m_Record, {life, now, false}))
+    if (MergeCrash(entry.m_Record, {incarnation, now, false}))
         entry.m_SendsLeft = kSendCount;
 }
 
@@ -140,9 +141,9 @@
     if (IsExpired(received, now))
         return MergeResult_Unchanged;
     CrashRecord& r       = FindOrAdd(received.m_Request, now).m_Record;
-    bool         changed = AddTrial(r, received.m_TrialAt);
+    bool         changed = MergeTrial(r, received.m_TrialAt);
     for (const ObservedCrash& c : received.m_Crashes)
-        changed = AddCrash(r, c) || changed;
+        changed = MergeCrash(r, c) || changed;
     if (changed)
         return MergeResult_Changed;
     return received.UnclearedCount() > r.UnclearedCount() ? MergeResult_SenderOutdated : MergeResult_Unchanged;
--- a/src/request/crash_history.h
+++ b/src/request/crash_history.h
@@ -45,9 +45,9 @@
 
 struct ObservedCrash
 {
-    uint64_t  m_Life = 0;        // LifeHash() of the server
-    TimePoint m_At{};            //
-    bool      m_Cleared = false; // a later complete answer cleared the crash; never reset to false
+    uint64_t  m_IncarnationHash = 0; // LifeHash() of the server
+    TimePoint m_At{};                //
+    bool      m_Cleared = false;     // a later complete answer cleared the crash; never reset to false
 };
 
 struct CrashRecord // history of one request
@@ -69,7 +69,7 @@
 class CrashHistory // used on one thread
 {
 public:
-    void        OnCrash(uint64_t request, uint64_t life, TimePoint now);
+    void        OnCrash(uint64_t request, uint64_t incarnation, TimePoint now);
     void        OnAnswered(uint64_t request);                  // a server answered completely; clears earlier crashes
     bool        CheckBlocked(uint64_t request, TimePoint now); // call once before each attempt is sent; starts a trial if one is due
     MergeResult Merge(const CrashRecord& received, TimePoint now);
--- a/src/request/direct_attempt.cpp
+++ b/src/request/direct_attempt.cpp
@@ -85,12 +85,12 @@
     const unsigned of_route = call.m_Route->m_Priority;
     const unsigned declared = call.m_Account != nullptr ? call.m_Account->m_Priority.value_or(of_route) : of_route;
     ForwardFields  add;
-    add.m_ServerId    = server_id;
-    add.m_Account     = call.m_Account != nullptr ? call.m_Account->m_Name : std::string();
-    add.m_Remaining   = call.Left(now);
-    add.m_Priority    = call.m_Events > 0 ? kPriorityResumed : declared;
-    add.m_Weights     = ExpectedWeights(call, now);
-    add.m_ResumeAfter = call.m_LastEvent;
+    add.m_ServerId       = server_id;
+    add.m_Account        = call.m_Account != nullptr ? call.m_Account->m_Name : std::string();
+    add.m_Remaining      = call.Left(now);
+    add.m_Priority       = call.m_Events > 0 ? kPriorityResumed : declared;
+    add.m_WeightsVersion = ExpectedWeights(call, now);
+    add.m_ResumeAfter    = call.m_LastEvent;
     return add;
 }
 
@@ -115,7 +115,7 @@
 
 TimePoint DirectServe::Impl::EndAt(const Call& call, const RequestAttempt& attempt) const
 {
-    const TimePoint end_at   = AttemptEnds(call.m_Deadline, call.m_HeadSent);
+    const TimePoint end_at   = AttemptDeadline(call.m_Deadline, call.m_HeadSent);
     const bool      may_wait = attempt.m_Pace.m_Begun || !call.IsStream() || !call.m_Route->MayRepeat();
     return may_wait ? end_at : std::min(end_at, BeginBy(call, attempt));
 }
@@ -141,7 +141,7 @@
     attempt->m_Pace.m_SentAt      = sent_at;
     call.m_LookAt                 = sent_at + milliseconds(m_Settings.m_FirstEventMs);
 
-    m_Choice.OnSent(attempt->m_Server, call.m_Caller.m_Prompt, sent_at);
+    m_Choice.OnSent(attempt->m_Server, call.m_Caller.m_PromptTokens, sent_at);
     m_Limits.OnSent(attempt->m_Server, sent_at);
     // A server that doesn't take the request has nothing to go on with: it is waited for no longer than for a first event.
     const bool      elsewhere = call.IsStream() && call.m_Route->MayRepeat();
@@ -187,7 +187,7 @@
     if (!sent)
     {
         if (sent.error().m_Verdict == Verdict_NotRun)
-            Budget(call.m_Service->m_Name).GiveBack();
+            Budget(call.m_Service->m_Name).ReturnToken();
         co_return false;
     }
     resent.Add(1);
@@ -228,7 +228,7 @@
         else
         {
             call.m_MayHaveRun = true; // it was sent
-            m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, call.m_Caller.m_Prompt, now - attempt->m_Pace.m_SentAt, now);
+            m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, call.m_Caller.m_PromptTokens, now - attempt->m_Pace.m_SentAt, now);
         }
     }
     call.m_Paused = std::move(kept);
@@ -251,7 +251,7 @@
     const TimePoint now = Now();
     for (const RequestAttemptPtr& attempt : call.m_Paused)
     {
-        const double unread = attempt->m_Pace.m_Begun ? 0 : call.m_Caller.m_Prompt;
+        const double unread = attempt->m_Pace.m_Begun ? 0 : call.m_Caller.m_PromptTokens;
         m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, unread, now - attempt->m_Pace.m_SentAt, now); // the pause was counted as it came
     }
     call.m_Paused.clear();
@@ -270,12 +270,13 @@
         m_CrashDetector.OnConnectionLost(attempt.m_Server, attempt.m_Address, {call.m_Caller.m_Id, call.ContentHash()});
     call.m_LastServer   = attempt.m_Server.m_Id;
     const TimePoint now = Now();
-    const bool too_late = now >= AttemptEnds(call.m_Deadline, false) && end == AttemptEnd_MayHaveRun; // the deadline ended it: no fault of the server
+    const bool      too_late =
+        now >= AttemptDeadline(call.m_Deadline, false) && end == AttemptEnd_MayHaveRun; // the deadline ended it: no fault of the server
     if (too_late)
         NoteFailure(call, AttemptCause_Deadline, "deadline reached");
     call.m_Quiet                = now - std::max(pace.m_SentAt, pace.m_HeardAt);
     const ServerOutcome outcome = too_late ? ServerOutcome_Cancelled : OutcomeOf(end, call, reached, attempt);
-    const double        unread  = pace.m_Begun ? 0 : call.m_Caller.m_Prompt;
+    const double        unread  = pace.m_Begun ? 0 : call.m_Caller.m_PromptTokens;
     m_Choice.OnEnd(attempt.m_Server, outcome, unread, now - pace.m_SentAt, now);
     return end;
 }
@@ -425,7 +426,7 @@
         call.m_LookAt      = pace.m_HeardAt + milliseconds(m_Settings.m_NextEventMs);
         DropPaused(call); // what they would say comes again from here
         if (!pace.m_Begun)
-            m_Choice.OnFirstEvent(attempt.m_Server, call.m_Caller.m_Prompt);
+            m_Choice.OnFirstEvent(attempt.m_Server, call.m_Caller.m_PromptTokens);
         NoteEvent(pace, before, pace.m_HeardAt);
         const bool written = co_await PassOn(call, attempt.m_Stream->Head(), out, pace.m_HeardAt);
         if (!written)
--- a/src/request/direct_place.cpp
+++ b/src/request/direct_place.cpp
@@ -44,8 +44,8 @@
     need.m_Goal             = call.m_Route->m_Goal;
     need.m_StrictestGoal    = call.m_Routes->StrictestGoal(call.m_Service->m_Name);
     need.m_Left             = call.Left(now);
-    need.m_Prompt           = call.m_Caller.m_Prompt;
-    need.m_Answer           = call.m_Caller.m_Answer;
+    need.m_Prompt           = call.m_Caller.m_PromptTokens;
+    need.m_Answer           = call.m_Caller.m_MaxAnswerTokens;
     need.m_CameBack         = call.m_Returned || !call.m_Tried.empty() || call.m_HeadSent;
     need.m_WeightsDeadlines = deadlines;
     need.m_Bears            = Bears(call, now);
@@ -173,7 +173,7 @@
     if (call.m_Choice.m_Server != nullptr)
         taken = *call.m_Choice.m_Server;
     if (taken && !call.m_Granted && m_Places != nullptr && call.m_Service->m_Engine)
-        m_Places->Take(BoxOf(*taken), ReadingMs(*call.m_Service->m_Engine, call.m_Caller.m_Prompt));
+        m_Places->Take(BoxOf(*taken), ReadingMs(*call.m_Service->m_Engine, call.m_Caller.m_PromptTokens));
     call.m_Choice.m_Server = nullptr; // what it points to may not outlive this
     co_return taken;
 }
--- a/src/request/direct_serve.cpp
+++ b/src/request/direct_serve.cpp
@@ -54,7 +54,7 @@
     };
 }
 
-DirectServe::Impl::Impl(Daemon& daemon, const DirectServeSettings& s, RoutingWorld& world, const RequestProtocol& protocol)
+DirectServe::Impl::Impl(Daemon& daemon, const DirectServeSettings& s, RoutingState& world, const RequestProtocol& protocol)
     : m_Daemon(daemon), m_Settings(s), m_World(world), m_Protocol(protocol), m_Choice(ServerChoiceConfig{}, RandomSeed()),
       m_CrashDetector(daemon.Ioc(), [this](const ServerCrash& crash) { OnCrash(crash); })
 {
@@ -97,11 +97,11 @@
     {
         const double routers = m_Choice.RoutersHint() > 0 ? m_Choice.RoutersHint() : kRoutersAssumed;
         RetryConfig  cfg;
-        cfg.m_PerRequest = m_Settings.m_RetryRatio * kBudgetShare;
-        cfg.m_BudgetMax  = std::max(1.0, m_Settings.m_RetryExtra * kBudgetShare / routers);
-        cfg.m_Reserve    = std::min(cfg.m_BudgetMax * kBudgetReserve, cfg.m_BudgetMax - 1); // a small share still has one for anybody
-        cfg.m_MinLeft    = kMinLeft;
-        b                = std::make_unique<RetryBudget>(cfg);
+        cfg.m_TokensPerRequest = m_Settings.m_RetryRatio * kBudgetShare;
+        cfg.m_BudgetMaxTokens  = std::max(1.0, m_Settings.m_RetryExtra * kBudgetShare / routers);
+        cfg.m_ReservedTokens = std::min(cfg.m_BudgetMaxTokens * kBudgetReserve, cfg.m_BudgetMaxTokens - 1); // a small share still has one for anybody
+        cfg.m_MinRemaining   = kMinLeft;
+        b                    = std::make_unique<RetryBudget>(cfg);
     }
     return *b;
 }
@@ -139,35 +139,35 @@
 HttpResponse DirectServe::Impl::Refuse(Call& call, unsigned status, std::string_view why, Duration retry) const
 {
     call.m_Why = why;
-    return m_Protocol.OwnAnswer(call.m_Caller, status, why, retry);
+    return m_Protocol.MakeLocalResponse(call.m_Caller, status, why, retry);
 }
 
 // With the store away from everybody, a wrong URL gets 503 for that time: its caller asks again for nothing, while a caller of a new route that is
 // told 404 gives up a request that would have been served.
 HttpResponse DirectServe::Impl::Deny(Call& call, unsigned status, std::string_view why) const
 {
-    if (DeclarationsDoubted(call.m_Belief, call.m_StartedAt))
+    if (DeclarationsMayBeStale(call.m_Freshness, call.m_StartedAt))
         return Refuse(call, 503, "declarations are being fetched", kNotReadyRetry);
     return Refuse(call, status, why, {});
 }
 
 std::optional<HttpResponse> DirectServe::Impl::Identify(Call& call)
 {
-    call.m_Belief = m_World.m_Belief;
-    auto decoded  = m_Protocol.DecodeRequest(call.m_Request);
+    call.m_Freshness = m_World.m_Freshness;
+    auto decoded     = m_Protocol.DecodeRequest(call.m_Request);
     if (!decoded)
         return Refuse(call, 400, decoded.error().m_Message, {});
     call.m_Caller    = std::move(decoded.value());
     call.m_LastEvent = call.m_Caller.m_ResumeAfter;
     call.m_Routes    = m_World.m_Routes;
-    if (!call.m_Routes || !m_World.m_ServersKnown)
+    if (!call.m_Routes || !m_World.m_ServerListRead)
         return Refuse(call, 503, "declarations not known yet", kNotReadyRetry);
     call.m_Route = call.m_Routes->FindRoute(call.m_Caller.m_Host, call.m_Request.Path());
     if (call.m_Route == nullptr)
         return Deny(call, 404, "no route");
     if (call.m_Routes->NeedsKey(*call.m_Route))
     {
-        call.m_Account = call.m_Routes->FindAccount(call.m_Caller.m_Key);
+        call.m_Account = call.m_Routes->FindAccount(call.m_Caller.m_ApiKey);
         if (call.m_Account == nullptr)
             return Deny(call, 401, "unknown key");
     }
@@ -191,8 +191,8 @@
 std::vector<WeightsDeadline> DirectServe::Impl::WeightsDeadlines(const Call& call) const
 {
     std::vector<WeightsDeadline> out;
-    const auto                   it = call.m_Service->m_Engine ? m_World.m_Weights.find(call.m_Service->m_Engine->m_Model) : m_World.m_Weights.end();
-    if (it == m_World.m_Weights.end())
+    const auto it = call.m_Service->m_Engine ? m_World.m_TargetVersions.find(call.m_Service->m_Engine->m_Model) : m_World.m_TargetVersions.end();
+    if (it == m_World.m_TargetVersions.end())
         return out;
     for (const auto& [version, naming] : it->second)
         out.push_back({version, naming.m_At + FromMs(m_Settings.m_WeightsDeadlineMs)});
@@ -263,7 +263,7 @@
         co_return server;
     call.m_GivenUp = GivenUp_NoServer;
     if (paid)
-        Budget(call.m_Service->m_Name).GiveBack();
+        Budget(call.m_Service->m_Name).ReturnToken();
     co_return std::nullopt;
 }
 
@@ -366,12 +366,12 @@
     if (call.m_MayHaveRun)
     {
         const unsigned     status = call.Left(Now()) < kMinLeft ? 504 : 502;
-        const HttpResponse res    = m_Protocol.OwnAnswer(call.m_Caller, status, call.m_Why, {});
+        const HttpResponse res    = m_Protocol.MakeLocalResponse(call.m_Caller, status, call.m_Why, {});
         co_await Answer(call, res);
         co_return;
     }
     const Duration     retry = call.m_Choice.m_RetryAfter > Duration::zero() ? call.m_Choice.m_RetryAfter : Duration(kNotReadyRetry);
-    const HttpResponse res   = m_Protocol.OwnAnswer(call.m_Caller, 503, call.m_Why, retry);
+    const HttpResponse res   = m_Protocol.MakeLocalResponse(call.m_Caller, 503, call.m_Why, retry);
     co_await Answer(call, res);
 }
 
@@ -383,7 +383,7 @@
     return out;
 }
 
-static void LogCall(const Call& call, const RoutingWorld& world, TimePoint now)
+static void LogCall(const Call& call, const RoutingState& world, TimePoint now)
 {
     const auto             ms      = [](Duration d) { return d == Duration::max() ? -1 : ToMs(d); };
     const std::string_view verdict = call.m_MayHaveRun || call.m_Events > 0 || call.m_Status == 200 ? "may-have-run" : "not-run";
@@ -391,10 +391,10 @@
                                     {"route", call.m_Route != nullptr ? call.m_Route->m_Name : std::string()},
                                     {"account", call.m_Account != nullptr ? call.m_Account->m_Name : std::string()},
                                     {"declared", call.m_Routes ? call.m_Routes->Version() : 0},
-                                    {"declared_age_ms", call.m_Routes ? ms(now - world.m_RoutesAt) : -1},
-                                    {"row", call.m_Belief.m_Held},
-                                    {"row_heard", call.m_Belief.m_Heard},
-                                    {"checked_age_ms", AgeOrNever(call.m_Belief.m_CheckedAt, call.m_StartedAt)},
+                                    {"declared_age_ms", call.m_Routes ? ms(now - world.m_RoutesReceivedAt) : -1},
+                                    {"row", call.m_Freshness.m_HeldRow},
+                                    {"row_heard", call.m_Freshness.m_NewestRow},
+                                    {"checked_age_ms", AgeOrNever(call.m_Freshness.m_ConfirmedAt, call.m_StartedAt)},
                                     {"status", call.m_Status},
                                     {"verdict", verdict},
                                     {"why", call.m_Why},
@@ -416,7 +416,7 @@
                                     {"claim_ms", ToMsReal(call.m_ClaimTook)},
                                     {"goal_ms", call.m_Route != nullptr ? ToMs(call.m_Route->m_Goal) : -1},
                                     {"came_back", call.m_CameBack},
-                                    {"prompt", call.m_Caller.m_Prompt},
+                                    {"prompt", call.m_Caller.m_PromptTokens},
                                     {"events", call.m_Events},
                                     {"first_ms", call.m_FirstAt == TimePoint{} ? -1 : ToMs(call.m_FirstAt - call.m_StartedAt)},
                                     {"gap_ms", ms(call.m_WorstGap)},
@@ -447,7 +447,7 @@
 // DirectServe
 //-----------------------------------------------------------------------------
 
-DirectServe::DirectServe(Daemon& daemon, const DirectServeSettings& s, RoutingWorld& world, const RequestProtocol& protocol)
+DirectServe::DirectServe(Daemon& daemon, const DirectServeSettings& s, RoutingState& world, const RequestProtocol& protocol)
     : m_Impl(std::make_shared<Impl>(daemon, s, world, protocol))
 {
 }
@@ -490,7 +490,7 @@
         if (ServerLife::Earlier(report.m_BornMs, e.m_BornMs))
             return; // of the server that was there before
         m_Impl->m_Choice.OnReport({e.m_Id, report.m_BornMs}, report, now);
-        NoteReported(m_Impl->m_World, s.m_Engine->m_Model, report.m_Named, FromMs(m_Impl->m_Settings.m_WeightsDeadlineMs), now);
+        RecordReportedVersions(m_Impl->m_World, s.m_Engine->m_Model, report.m_Named, FromMs(m_Impl->m_Settings.m_WeightsDeadlineMs), now);
     };
     ForEachServer(m_Impl->m_World, note);
 }
--- a/src/request/direct_serve.h
+++ b/src/request/direct_serve.h
@@ -60,7 +60,7 @@
 class DirectServe
 {
 public:
-    DirectServe(Daemon& daemon, const DirectServeSettings& s, RoutingWorld& world, const RequestProtocol& protocol);
+    DirectServe(Daemon& daemon, const DirectServeSettings& s, RoutingState& world, const RequestProtocol& protocol);
     ~DirectServe();
 
     void            AskBoxes(PlaceChannel& places, uint16_t port); // of model servers, at that port; without it reports alone decide
--- a/src/request/direct_serve_internal.h
+++ b/src/request/direct_serve_internal.h
@@ -88,7 +88,7 @@
     CallerRequest                 m_Caller;                      //
     TimePoint                     m_StartedAt;                   //
     TimePoint                     m_Deadline;                    // the caller's or the route's, whichever is first
-    DeclarationsBelief            m_Belief;                      // when it came
+    DeclarationsFreshness         m_Freshness;                   // when it came
     RouteTablePtr                 m_Routes;                      // keeps m_Route, m_Account and m_Service alive
     const Route*                  m_Route   = nullptr;           //
     const ClientAccount*          m_Account = nullptr;           // null: the route is public, or nobody needs a key
@@ -134,7 +134,7 @@
 {
     Daemon&                                             m_Daemon;                  //
     DirectServeSettings                                 m_Settings;                //
-    RoutingWorld&                                       m_World;                   //
+    RoutingState&                                       m_World;                   //
     const RequestProtocol&                              m_Protocol;                //
     HttpClient                                          m_Client;                  //
     ServerChoice                                        m_Choice;                  //
@@ -148,7 +148,7 @@
     uint16_t                                            m_BoxPort       = 0;       // of m_Places
     uint64_t                                            m_InFlight      = 0;       // requests from their head to their last byte
 
-    Impl(Daemon& daemon, const DirectServeSettings& s, RoutingWorld& world, const RequestProtocol& protocol);
+    Impl(Daemon& daemon, const DirectServeSettings& s, RoutingState& world, const RequestProtocol& protocol);
 
     HttpResponse                 Refuse(Call& call, unsigned status, std::string_view why, Duration retry) const; // retry: zero: says none
     HttpResponse                 Deny(Call& call, unsigned status, std::string_view why) const; // or 503, while declarations are doubted
--- a/src/request/fair_queue.cpp
+++ b/src/request/fair_queue.cpp
@@ -24,11 +24,11 @@
             m_Accounts.erase(account);
         return false;
     }
-    const Place place{std::max(m_Virtual, a.m_LastTag), ++m_Seq};
-    a.m_LastTag = place.m_Tag + 1.0 / weight;
+    const QueuePosition position{std::max(m_VirtualTime, a.m_FinishTag), ++m_Seq};
+    a.m_FinishTag = position.m_StartTag + 1.0 / weight;
     a.m_Waiting++;
-    (offline ? m_Offline : m_Online).emplace(place, Entry{id, account});
-    m_ById.emplace(id, std::pair(offline, place));
+    (offline ? m_Offline : m_Online).emplace(position, Entry{id, account});
+    m_ById.emplace(id, std::pair(offline, position));
     return true;
 }
 
@@ -45,9 +45,9 @@
     return true;
 }
 
-std::map<FairQueue::Place, FairQueue::Entry>& FairQueue::QueueToServe()
+std::map<FairQueue::QueuePosition, FairQueue::Entry>& FairQueue::NextQueue()
 {
-    const bool due = m_SinceOffline + 1 >= m_Config.m_OfflineEvery;
+    const bool due = m_StartsSinceOffline + 1 >= m_Config.m_OfflineInterval;
     if (m_Online.empty() || (due && !m_Offline.empty()))
         return m_Offline;
     return m_Online;
@@ -57,18 +57,18 @@
 {
     if (m_Running >= capacity || Waiting() == 0)
         return std::nullopt;
-    auto&       queue   = QueueToServe();
-    const bool  offline = &queue == &m_Offline;
-    const auto  first   = queue.begin();
-    const Entry entry   = first->second;
-    m_Virtual           = std::max(m_Virtual, first->first.m_Tag);
-    m_SinceOffline      = offline ? 0 : m_SinceOffline + 1;
+    auto&       queue    = NextQueue();
+    const bool  offline  = &queue == &m_Offline;
+    const auto  first    = queue.begin();
+    const Entry entry    = first->second;
+    m_VirtualTime        = std::max(m_VirtualTime, first->first.m_StartTag);
+    m_StartsSinceOffline = offline ? 0 : m_StartsSinceOffline + 1;
     queue.erase(first);
     m_ById.erase(entry.m_Id);
     Account& a = m_Accounts[entry.m_Account];
     a.m_Waiting--;
     m_Running++;
-    if (a.m_Waiting == 0 && a.m_LastTag <= m_Virtual)
+    if (a.m_Waiting == 0 && a.m_FinishTag <= m_VirtualTime)
         m_Accounts.erase(entry.m_Account);
     return entry.m_Id;
 }
--- a/src/request/fair_queue.h
+++ b/src/request/fair_queue.h
@@ -1,7 +1,7 @@
 // aldervale: fair queueing of requests that wait for room at the backend servers
 //
 // Start-time fair queueing over client accounts by weight: an account that offers twenty times its share waits behind itself. Offline
-// work (priority 0) goes when nothing else waits, and gets every m_OfflineEvery-th place all the same, so that it never starves
+// work (priority 0) goes when nothing else waits, and gets every m_OfflineInterval-th place all the same, so that it never starves
 // (backfill with a reserved share, after "Maximizing GPU Utilization: Mixing Online and Offline Inference Workloads", 2025).
 // Pure; the caller locks.
 //
@@ -23,7 +23,7 @@
 {
     size_t   m_MaxWaiting           = 2000; // over all accounts
     size_t   m_MaxWaitingPerAccount = 400;  //
-    unsigned m_OfflineEvery         = 10;   // places between two that are reserved for offline work
+    unsigned m_OfflineInterval      = 10;   // places between two that are reserved for offline work
 };
 
 class FairQueue
@@ -40,11 +40,11 @@
     size_t                  Waiting() const { return m_Online.size() + m_Offline.size(); }
 
 private:
-    struct Place // order of starting
+    struct QueuePosition // order of starting
     {
-        double   m_Tag                           = 0; // virtual start time
-        uint64_t m_Seq                           = 0; // ties: first come
-        auto     operator<=>(const Place&) const = default;
+        double   m_StartTag                              = 0; // virtual start time
+        uint64_t m_Seq                                   = 0; // ties: first come
+        auto     operator<=>(const QueuePosition&) const = default;
     };
 
     struct Entry
@@ -55,21 +55,21 @@
 
     struct Account
     {
-        double m_LastTag = 0; // virtual finish time of its newest request
-        size_t m_Waiting = 0; //
+        double m_FinishTag = 0; // virtual finish time of its newest request
+        size_t m_Waiting   = 0; //
     };
 
-    std::map<Place, Entry>& QueueToServe();
+    std::map<QueuePosition, Entry>& NextQueue();
 
-    FairQueueConfig                            m_Config;           //
-    std::map<Place, Entry>                     m_Online;           //
-    std::map<Place, Entry>                     m_Offline;          //
-    std::map<std::string, Account>             m_Accounts;         // those that wait, and those ahead of virtual time
-    std::map<uint64_t, std::pair<bool, Place>> m_ById;             // offline?, place
-    double                                     m_Virtual      = 0; // tag of the newest start; never falls
-    uint64_t                                   m_Seq          = 0; //
-    unsigned                                   m_SinceOffline = 0; // starts since offline work last got one
-    size_t                                     m_Running      = 0; //
+    FairQueueConfig                                    m_Config;                 //
+    std::map<QueuePosition, Entry>                     m_Online;                 //
+    std::map<QueuePosition, Entry>                     m_Offline;                //
+    std::map<std::string, Account>                     m_Accounts;               // those that wait, and those ahead of virtual time
+    std::map<uint64_t, std::pair<bool, QueuePosition>> m_ById;                   // offline?, place
+    double                                             m_VirtualTime        = 0; // tag of the newest start; never falls
+    uint64_t                                           m_Seq                = 0; //
+    unsigned                                           m_StartsSinceOffline = 0; // starts since offline work last got one
+    size_t                                             m_Running            = 0; //
 };
 
 } // namespace aldervale
--- a/src/request/key_journal.cpp
+++ b/src/request/key_journal.cpp
@@ -143,8 +143,8 @@
 
 void KeyJournal::RaiseHorizon(int64_t wall_ms)
 {
-    int64_t old = m_HorizonMs.load();
-    while (wall_ms > old && !m_HorizonMs.compare_exchange_weak(old, wall_ms))
+    int64_t current = m_HorizonMs.load();
+    while (wall_ms > current && !m_HorizonMs.compare_exchange_weak(current, wall_ms))
     {
     }
 }
--- a/src/request/limits.h
+++ b/src/request/limits.h
@@ -9,8 +9,8 @@
 //
 // Usage:
 //   if (auto wait = limits.Admit("desk", spec, now)) refuse, and tell the caller to come back after *wait;
-//   std::vector<AccountRate> mine = limits.Tick(now);      // every m_Window; send to the other routers
-//   limits.OnPeer("router-2", their_rates, now);
+//   std::vector<AccountRate> mine = limits.Tick(now);      // every m_MeasureInterval; send to the other routers
+//   limits.OnPeerRates("router-2", their_rates, now);
 
 #pragma once
 #include "process/resources.h"
@@ -24,11 +24,11 @@
 
 struct LimitsConfig
 {
-    Duration m_Window     = milliseconds(250); // how often demand is measured and told
-    Duration m_PeerMemory = seconds(600);      // how long a silent peer's demand still counts
-    double   m_Floor      = 0.02;              // e as a share of the limit
-    double   m_Smooth     = 0.5;               // weight of the newest window in the demand
-    double   m_BurstShare = 0.1;               // seconds' worth of the own share that may gather, at most the declared burst's share
+    Duration m_MeasureInterval = milliseconds(250); // how often demand is measured and told
+    Duration m_PeerRetention   = seconds(600);      // how long a silent peer's demand still counts
+    double   m_FloorShare      = 0.02;              // e as a share of the limit
+    double   m_NewestWeight    = 0.5;               // weight of the newest window in the demand
+    double   m_BurstSeconds    = 0.1;               // seconds' worth of the own share that may gather, at most the declared burst's share
 };
 
 struct AccountRate
@@ -44,7 +44,7 @@
 
     std::optional<Duration>  Admit(const std::string& account, const ClientAccountSpec& spec, TimePoint now); // nothing: admitted
     std::vector<AccountRate> Tick(TimePoint now);
-    void                     OnPeer(const std::string& router, std::span<const AccountRate> rates, TimePoint now);
+    void                     OnPeerRates(const std::string& router, std::span<const AccountRate> rates, TimePoint now);
     double                   ShareOf(const std::string& account, TimePoint now); // of the limit, 0 to 1
 
 private:
@@ -56,13 +56,13 @@
 
     struct Account
     {
-        uint64_t                          m_Offered = 0;      // since the last Tick()
-        double                            m_Rate    = 0;      // smoothed, a second
-        std::map<std::string, PeerDemand> m_Peers;            // by router
-        TokenBucket                       m_Bucket{0, 0, {}}; //
-        double                            m_Limit   = 0;      // as declared when the bucket was set
-        double                            m_Burst   = 0;      //
-        bool                              m_Started = false;  // the bucket is set
+        uint64_t                          m_OfferedCount = 0;    // since the last Tick()
+        double                            m_Rate         = 0;    // smoothed, a second
+        std::map<std::string, PeerDemand> m_Peers;               // by router
+        TokenBucket                       m_Bucket{0, 0, {}};    //
+        double                            m_Limit       = 0;     // as declared when the bucket was set
+        double                            m_Burst       = 0;     //
+        bool                              m_BucketReady = false; // the bucket is set
     };
 
     struct Shard
@@ -79,9 +79,9 @@
 
     LimitsConfig                     m_Config;       //
     std::array<Shard, kShards>       m_Shards;       //
-    std::mutex                       m_PeersMutex;   // guards m_KnownPeers
-    std::map<std::string, TimePoint> m_KnownPeers;   // routers heard from, and when
-    std::atomic<size_t>              m_PeerCount{0}; // size of m_KnownPeers
+    std::mutex                       m_PeersMutex;   // guards m_PeerLastSeen
+    std::map<std::string, TimePoint> m_PeerLastSeen; // routers heard from, and when
+    std::atomic<size_t>              m_PeerCount{0}; // size of m_PeerLastSeen
     TimePoint                        m_LastTick{};   // touched only by Tick()
 };
 
--- a/src/request/request_protocol.h
+++ b/src/request/request_protocol.h
@@ -11,23 +11,23 @@
 
 struct CallerRequest // decoded once from a caller's request
 {
-    std::string             m_Id;          // of this attempt of the caller
-    std::string             m_Host;        //
-    std::string             m_Key;         // of the client account; empty: none was sent
-    std::optional<Duration> m_Remaining;   // how long the caller will wait
-    double                  m_Prompt = 0;  // tokens in
-    double                  m_Answer = 0;  // tokens out at most
-    std::string             m_ResumeAfter; // streams: id of the last event the caller has; empty: from the start
+    std::string             m_Id;                  // of this attempt of the caller
+    std::string             m_Host;                //
+    std::string             m_ApiKey;              // of the client account; empty: none was sent
+    std::optional<Duration> m_Remaining;           // how long the caller will wait
+    double                  m_PromptTokens    = 0; // tokens in
+    double                  m_MaxAnswerTokens = 0; // tokens out at most
+    std::string             m_ResumeAfter;         // streams: id of the last event the caller has; empty: from the start
 };
 
 struct ForwardFields // what the router adds to a request that it sends to a backend server
 {
-    std::string m_ServerId;     // only this lifetime of the server may run it
-    std::string m_Account;      // name of the caller's account; empty: none
-    Duration    m_Remaining{};  // after which nobody waits for the answer
-    unsigned    m_Priority = 5; // 0 is the most urgent
-    uint64_t    m_Weights  = 0; // only weights of this version may run it; 0: any
-    std::string m_ResumeAfter;  // streams: id of the last event delivered; empty: from the start
+    std::string m_ServerId;           // only this lifetime of the server may run it
+    std::string m_Account;            // name of the caller's account; empty: none
+    Duration    m_Remaining{};        // after which nobody waits for the answer
+    unsigned    m_Priority       = 5; // 0 is the most urgent
+    uint64_t    m_WeightsVersion = 0; // only weights of this version may run it; 0: any
+    std::string m_ResumeAfter;        // streams: id of the last event delivered; empty: from the start
 };
 
 struct ServerAnswer // decoded once from the head of a backend server's answer
@@ -47,7 +47,7 @@
     virtual HttpRequest           Forward(const HttpRequest& req, const ForwardFields& add) const = 0;
     virtual ServerAnswer          DecodeAnswer(const HttpResponse& head) const                    = 0;
     virtual HttpFields            CallerFields(const HttpResponse& head) const                    = 0; // of an answer passed on
-    virtual HttpResponse          OwnAnswer(const CallerRequest& req, unsigned status, std::string_view why, Duration retry) const = 0;
+    virtual HttpResponse MakeLocalResponse(const CallerRequest& req, unsigned status, std::string_view reason, Duration retry_after) const = 0;
 };
 
 } // namespace aldervale
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -15,37 +15,37 @@
 
 struct RetryConfig
 {
-    unsigned m_MaxAttempts = 3;               // first one included
-    double   m_PerRequest  = 0.2;             // tokens gained with each request
-    double   m_BudgetMax   = 20;              // tokens that may gather
-    double   m_Reserve     = 0;               // of these, left for answers that have begun: their callers lose what they have
-    Duration m_MinLeft     = milliseconds(5); // time before the deadline below which no attempt is begun
+    unsigned m_MaxAttempts      = 3;               // first one included
+    double   m_TokensPerRequest = 0.2;             // tokens gained with each request
+    double   m_BudgetMaxTokens  = 20;              // tokens that may gather
+    double   m_ReservedTokens   = 0;               // of these, left for answers that have answer_begun: their callers lose what they have
+    Duration m_MinRemaining     = milliseconds(5); // time before the deadline below which no attempt is answer_begun
 };
 
 class RetryBudget // thread-safe
 {
 public:
-    explicit RetryBudget(const RetryConfig& cfg) : m_Config(cfg), m_Tokens(cfg.m_BudgetMax) {}
+    explicit RetryBudget(const RetryConfig& cfg) : m_Config(cfg), m_Tokens(cfg.m_BudgetMaxTokens) {}
 
     void OnRequest()
     {
         std::lock_guard lock(m_Mutex);
-        m_Tokens = std::min(m_Config.m_BudgetMax, m_Tokens + m_Config.m_PerRequest);
+        m_Tokens = std::min(m_Config.m_BudgetMaxTokens, m_Tokens + m_Config.m_TokensPerRequest);
     }
 
-    bool TryTake(bool begun = false) // begun: some of the answer went to the caller
+    bool TryTake(bool answer_begun = false) // answer_begun: some of the answer went to the caller
     {
         std::lock_guard lock(m_Mutex);
-        if (m_Tokens < 1 + (begun ? 0 : m_Config.m_Reserve))
+        if (m_Tokens < 1 + (answer_begun ? 0 : m_Config.m_ReservedTokens))
             return false;
         m_Tokens -= 1;
         return true;
     }
 
-    void GiveBack() // a token that was taken for a retry that wasn't made
+    void ReturnToken() // a token that was taken for a retry that wasn't made
     {
         std::lock_guard lock(m_Mutex);
-        m_Tokens = std::min(m_Config.m_BudgetMax, m_Tokens + 1);
+        m_Tokens = std::min(m_Config.m_BudgetMaxTokens, m_Tokens + 1);
     }
 
     const RetryConfig& Config() const { return m_Config; }
@@ -53,16 +53,16 @@
 private:
     RetryConfig m_Config; //
     std::mutex  m_Mutex;  // guards m_Tokens
-    double      m_Tokens; // 0 to m_BudgetMax
+    double      m_Tokens; // 0 to m_BudgetMaxTokens
 };
 
 // When an attempt ends for its deadline. One that has no answer yet ends a little before, so that its caller can still be told; one whose answer has
-// begun has nothing to be told but its last bytes, which may be on their way for a little longer.
-inline TimePoint AttemptEnds(TimePoint deadline, bool begun)
+// answer_begun has nothing to be told but its last bytes, which may be on their way for a little longer.
+inline TimePoint AttemptDeadline(TimePoint deadline, bool answer_begun)
 {
-    constexpr auto kToTell    = milliseconds(20);
-    constexpr auto kLastBytes = milliseconds(50); // a way between data centres and a wait on a busy link
-    return begun ? deadline + kLastBytes : deadline - kToTell;
+    constexpr auto kErrorReplyTime = milliseconds(20);
+    constexpr auto kLastBytesTime  = milliseconds(50); // a way between data centres and a wait on a busy link
+    return answer_begun ? deadline + kLastBytesTime : deadline - kErrorReplyTime;
 }
 
 struct AttemptOutcome
@@ -79,7 +79,7 @@
         return false;
     if (o.m_Verdict == Verdict_MayHaveRun && !o.m_Repeatable)
         return false;
-    if (o.m_Attempts >= budget.Config().m_MaxAttempts || deadline - now < budget.Config().m_MinLeft)
+    if (o.m_Attempts >= budget.Config().m_MaxAttempts || deadline - now < budget.Config().m_MinRemaining)
         return false;
     return budget.TryTake();
 }
--- a/src/request/router_serve.cpp
+++ b/src/request/router_serve.cpp
@@ -701,7 +701,7 @@
         for (const wire::AccountDemand* a : *msg->accounts())
             if (a->account() != nullptr)
                 rates.push_back({a->account()->str(), a->rate()});
-    m_Impl->m_Limits.OnPeer(link->Peer().m_Name, rates, Now());
+    m_Impl->m_Limits.OnPeerRates(link->Peer().m_Name, rates, Now());
     return true;
 }
 
--- a/src/request/routing_world.cpp
+++ b/src/request/routing_world.cpp
@@ -8,17 +8,17 @@
 namespace
 {
 
-constexpr uint64_t kFirstVersion       = 1;                  // in force without having been named
-constexpr size_t   kVersionsRemembered = 8;                  // of a model's weights, for their deadlines
-constexpr auto     kUnknownNaming      = milliseconds(2500); // that older weights may be used when it isn't known when a version was named
+constexpr uint64_t kFirstVersion            = 1;                  // in force without having been named
+constexpr size_t   kVersionsRemembered      = 8;                  // of a model's weights, for their deadlines
+constexpr auto     kUnknownDeclarationGrace = milliseconds(2500); // that older weights may be used when it isn't known when a version was named
 
-bool Better(const Naming& a, const Naming& than)
+bool IsBetterEstimate(const DeclarationTime& a, const DeclarationTime& than)
 {
-    return a.m_Sure && (!than.m_Sure || a.m_At < than.m_At);
+    return a.m_Observed && (!than.m_Observed || a.m_At < than.m_At);
 }
 
 // False: all that are remembered are newer.
-bool MakeRoom(NamedVersions& versions, uint64_t version)
+bool EvictOldestFor(DeclaredVersions& versions, uint64_t version)
 {
     if (versions.size() < kVersionsRemembered)
         return true;
@@ -30,44 +30,44 @@
 
 } // namespace
 
-Naming AssumedNaming(TimePoint now, Duration deadline)
+DeclarationTime AssumeDeclarationTime(TimePoint now, Duration deadline)
 {
-    return {now - deadline + std::min<Duration>(deadline, kUnknownNaming), false};
+    return {now - deadline + std::min<Duration>(deadline, kUnknownDeclarationGrace), false};
 }
 
-bool NoteNamed(RoutingWorld& world, const std::string& model, uint64_t version, Naming naming)
+bool RecordTargetVersion(RoutingState& world, const std::string& model, uint64_t version, DeclarationTime declared)
 {
-    NamedVersions& versions = world.m_Weights[model];
-    const uint64_t newest   = versions.empty() ? kFirstVersion : versions.rbegin()->first;
-    const auto     known    = versions.find(version);
+    DeclaredVersions& versions = world.m_TargetVersions[model];
+    const uint64_t    newest   = versions.empty() ? kFirstVersion : versions.rbegin()->first;
+    const auto        known    = versions.find(version);
     if (known != versions.end())
     {
-        if (Better(naming, known->second))
-            known->second = naming;
+        if (IsBetterEstimate(declared, known->second))
+            known->second = declared;
         return false;
     }
-    const bool guess = version < newest && !naming.m_Sure; // of an older version: says nothing
-    if (version <= kFirstVersion || guess || !MakeRoom(versions, version))
+    const bool uninformative = version < newest && !declared.m_Observed; // of an older version: says nothing
+    if (version <= kFirstVersion || uninformative || !EvictOldestFor(versions, version))
         return false;
-    versions[version] = naming;
-    LogEvent(Event_WeightsNamed, {{"model", model}, {"version", version}, {"before", newest}, {"sure", naming.m_Sure}});
+    versions[version] = declared;
+    LogEvent(Event_WeightsNamed, {{"model", model}, {"version", version}, {"before", newest}, {"sure", declared.m_Observed}});
     return version > newest;
 }
 
-void NoteReported(RoutingWorld& world, const std::string& model, std::span<const NamedAge> named, Duration deadline, TimePoint now)
+void RecordReportedVersions(RoutingState& world, const std::string& model, std::span<const NamedAge> named, Duration deadline, TimePoint now)
 {
     for (const NamedAge& n : named)
     {
-        const Naming naming = n.m_AgeMs >= 0 ? Naming{now - milliseconds(n.m_AgeMs), true} : AssumedNaming(now, deadline);
-        NoteNamed(world, model, n.m_Version, naming);
+        const DeclarationTime declared = n.m_AgeMs >= 0 ? DeclarationTime{now - milliseconds(n.m_AgeMs), true} : AssumeDeclarationTime(now, deadline);
+        RecordTargetVersion(world, model, n.m_Version, declared);
     }
 }
 
-bool DeclarationsDoubted(const DeclarationsBelief& belief, TimePoint now)
+bool DeclarationsMayBeStale(const DeclarationsFreshness& freshness, TimePoint now)
 {
-    if (belief.m_Held == 0)
+    if (freshness.m_HeldRow == 0)
         return false;
-    return belief.m_Heard > belief.m_Held || now - belief.m_CheckedAt > kDoubtedAfter;
+    return freshness.m_NewestRow > freshness.m_HeldRow || now - freshness.m_ConfirmedAt > kConfirmationMaxAge;
 }
 
 } // namespace aldervale
--- a/src/request/server_limits.h
+++ b/src/request/server_limits.h
@@ -16,8 +16,8 @@
 // Usage:
 //   ServerLimits l(seed);
 //   l.SetRouters(routers, now);
-//   if (l.Allows(life, now)) { l.OnSent(life, now); ... }
-//   l.OnAnswer(life, limit, sent_at, now);                       // for the head of each answer
+//   if (l.Allows(incarnation, now)) { l.OnSent(incarnation, now); ... }
+//   l.OnAnswer(incarnation, limit, sent_at, now);                       // for the head of each answer
 //   for (const LimitChange& c : l.TakeChanges()) ...             // send to other routers
 //   l.OnRemoteChange(change, now);                               // received from another router
 
@@ -49,8 +49,8 @@
 
 struct LimitChange
 {
-    uint64_t              m_Life = 0;     // LifeHash() of the server
-    std::optional<double> m_RequestsPerS; // none: the limit ended
+    uint64_t              m_IncarnationHash = 0; // LifeHash() of the server
+    std::optional<double> m_RequestsPerS;        // none: the limit ended
 };
 
 class ServerLimits // used on one thread
@@ -58,9 +58,10 @@
 public:
     explicit ServerLimits(uint64_t seed) : m_Random(seed) {}
 
-    bool Allows(const ServerLife& life, TimePoint now);
-    void OnSent(const ServerLife& life, TimePoint now);
-    bool OnAnswer(const ServerLife& life, std::optional<double> requests_per_s, TimePoint sent_at, TimePoint now); // returns whether it changed
+    bool Allows(const ServerLife& incarnation, TimePoint now);
+    void OnSent(const ServerLife& incarnation, TimePoint now);
+    bool OnAnswer(const ServerLife& incarnation, std::optional<double> requests_per_s, TimePoint sent_at,
+                  TimePoint now);                                  // returns whether it changed
     bool OnRemoteChange(const LimitChange& change, TimePoint now); // returns whether the limit changed
     void RemoveUnlisted(std::span<const uint64_t> listed);         // removes limits whose LifeHash() is not in `listed`
     void SetRouters(const LimitRouters& routers, TimePoint now);
@@ -73,15 +74,15 @@
     struct Limit
     {
         double      m_RequestsPerS = 0; // of all routers together
-        TimePoint   m_NamedAt{};        // last answer that named the limit
+        TimePoint   m_LastNamedAt{};    // last answer that named the limit
         TimePoint   m_ProbeAt{};        // a request is allowed from then on, regardless of the rate
         double      m_LocalRate = 0;    // share of this router, requests per second; 0: not a sender
         TokenBucket m_Bucket;           // at m_LocalRate; unused if that is 0
     };
 
-    Limit&   Add(uint64_t life, TimePoint now);
-    double   LocalRate(uint64_t life, double requests_per_s) const;
-    void     UpdateLocalRate(uint64_t life, Limit& limit, TimePoint now) const;
+    Limit&   Add(uint64_t incarnation, TimePoint now);
+    double   LocalRate(uint64_t incarnation, double requests_per_s) const;
+    void     UpdateLocalRate(uint64_t incarnation, Limit& limit, TimePoint now) const;
     Duration ProbeInterval();
 
     LimitRouters                        m_Routers; //
--- a/src/request/usage.cpp
+++ b/src/request/usage.cpp
@@ -85,17 +85,17 @@
     return nullptr;
 }
 
-void MergeBurn(json::array& into, const json::array& rows)
+void MergeBurn(json::array& target, const json::array& rows)
 {
     for (const json::value& row : rows)
     {
-        json::object* own = FindRow(into, row.as_object());
-        if (own == nullptr)
+        json::object* existing = FindRow(target, row.as_object());
+        if (existing == nullptr)
         {
-            into.push_back(row);
+            target.push_back(row);
             continue;
         }
-        json::array&       a = own->at("windows").as_array();
+        json::array&       a = existing->at("windows").as_array();
         const json::array& b = row.at("windows").as_array();
         for (size_t i = 0; i < std::min(a.size(), b.size()); i++)
             for (const std::string_view key : {"good", "bad"})
@@ -103,12 +103,12 @@
     }
 }
 
-void RateBurn(json::array& rows, const std::map<std::string, double>& allowed)
+void AddBurnRates(json::array& rows, const std::map<std::string, double>& allowed_bad_share)
 {
     for (json::value& row : rows)
     {
-        const auto   it    = allowed.find(std::string(row.at("service").as_string()));
-        const double share = it == allowed.end() ? 0.01 : it->second;
+        const auto   it    = allowed_bad_share.find(std::string(row.at("service").as_string()));
+        const double share = it == allowed_bad_share.end() ? 0.01 : it->second;
         for (json::value& w : row.as_object().at("windows").as_array())
         {
             const double good     = w.at("good").to_number<double>();
--- a/src/request/usage.h
+++ b/src/request/usage.h
@@ -1,8 +1,8 @@
 // aldervale: accounting per client account and burn of service levels
 //
-// Usage is counted per router incarnation as running totals; flushing writes the totals into that incarnation's own row, so a flush that
+// Usage is counted per router incarnation as running totals; flushing writes the totals target that incarnation's own row, so a flush that
 // is repeated or whose answer got lost counts nothing twice. Burn keeps good and bad requests per service and account in rings of
-// one-minute buckets and tells, for several windows, how fast the allowed share of bad requests is used up (1 = exactly allowed).
+// one-minute buckets and tells, for several windows, how fast the allowed_bad_share share of bad requests is used up (1 = exactly allowed_bad_share).
 // Thread-safe; state in shards, each under its own lock.
 //
 // Usage:
@@ -74,9 +74,9 @@
     std::array<Shard, kShards> m_Shards;
 };
 
-// Adds the counts of `rows` to `into`, matching service, account and window.
-void MergeBurn(json::array& into, const json::array& rows);
-// Adds "burn" to each window: bad share over allowed share; `allowed` by service, from the declared targets.
-void RateBurn(json::array& rows, const std::map<std::string, double>& allowed);
+// Adds the counts of `rows` to `target`, matching service, account and window.
+void MergeBurn(json::array& target, const json::array& rows);
+// Adds "burn" to each window: bad share over allowed_bad_share share; `allowed_bad_share` by service, from the declared targets.
+void AddBurnRates(json::array& rows, const std::map<std::string, double>& allowed_bad_share);
 
 } // namespace aldervale
--- a/tests/test_crash_history.cpp
+++ b/tests/test_crash_history.cpp
@@ -28,8 +28,8 @@
 BOOST_AUTO_TEST_CASE(a_request_is_blocked_after_crashing_three_different_servers)
 {
     CrashHistory h;
-    for (uint64_t life : {1, 1, 2, 2, 2})
-        h.OnCrash(7, life, kStart);
+    for (uint64_t incarnation : {1, 1, 2, 2, 2})
+        h.OnCrash(7, incarnation, kStart);
     BOOST_TEST(!h.CheckBlocked(7, kStart));
     h.OnCrash(7, 3, kStart);
     BOOST_TEST(h.CheckBlocked(7, kStart));
@@ -41,12 +41,12 @@
 {
     CrashHistory a;
     CrashHistory b;
-    for (uint64_t life = 1; life <= 20; life++)
+    for (uint64_t incarnation = 1; incarnation <= 20; incarnation++)
     {
-        const TimePoint now = kStart + milliseconds(100) * life;
-        a.OnCrash(7, life, now);
+        const TimePoint now = kStart + milliseconds(100) * incarnation;
+        a.OnCrash(7, incarnation, now);
         SendChanges(a, b, now);
-        if (life % 2 == 0)
+        if (incarnation % 2 == 0)
             b.OnAnswered(7);
         SendChanges(b, a, now);
         BOOST_TEST(!a.CheckBlocked(7, now));
@@ -70,8 +70,8 @@
 BOOST_AUTO_TEST_CASE(at_most_three_trials_run_after_a_block_and_one_at_a_time)
 {
     CrashHistory h;
-    for (uint64_t life : {1, 2, 3})
-        h.OnCrash(7, life, kStart);
+    for (uint64_t incarnation : {1, 2, 3})
+        h.OnCrash(7, incarnation, kStart);
     unsigned  trials = 0;
     TimePoint last{};
     for (TimePoint now = kStart; !h.Empty(); now += seconds(5))
@@ -92,8 +92,8 @@
 BOOST_AUTO_TEST_CASE(a_successful_trial_unblocks_the_request)
 {
     CrashHistory h;
-    for (uint64_t life : {1, 2, 3})
-        h.OnCrash(7, life, kStart);
+    for (uint64_t incarnation : {1, 2, 3})
+        h.OnCrash(7, incarnation, kStart);
     const TimePoint later = kStart + kInitialBlock + seconds(1);
     BOOST_TEST(!h.CheckBlocked(7, later));
     BOOST_TEST(h.CheckBlocked(7, later + seconds(1)));
@@ -105,8 +105,8 @@
 {
     CrashHistory a;
     CrashHistory b;
-    for (uint64_t life : {1, 2, 3})
-        a.OnCrash(7, life, kStart);
+    for (uint64_t incarnation : {1, 2, 3})
+        a.OnCrash(7, incarnation, kStart);
     SendChanges(a, b, kStart);
     const TimePoint later = kStart + kInitialBlock + seconds(1);
     BOOST_TEST(!a.CheckBlocked(7, later));
@@ -118,8 +118,8 @@
 BOOST_AUTO_TEST_CASE(records_are_limited_and_unblocked_ones_are_evicted_first)
 {
     CrashHistory h;
-    for (uint64_t life : {1, 2, 3})
-        h.OnCrash(7, life, kStart);
+    for (uint64_t incarnation : {1, 2, 3})
+        h.OnCrash(7, incarnation, kStart);
     for (uint64_t request = 100; request < 100 + 3 * kRecordsMax; request++)
         h.OnCrash(request, 4, kStart + milliseconds(request));
     BOOST_TEST(h.IsBlocked(7, kStart + seconds(10)));
@@ -148,16 +148,16 @@
                            for (int i = 0; i < steps; i++)
                            {
                                now += milliseconds(*rc::gen::inRange(0, 400));
-                               CrashHistory& r       = routers[*rc::gen::inRange<size_t>(0, kRouters)];
-                               const auto    request = *rc::gen::inRange<uint64_t>(1, 4);
-                               const auto    life    = *rc::gen::inRange<uint64_t>(1, 9);
-                               const auto    what    = *rc::gen::inRange(0, 4);
-                               if (what == 0)
+                               CrashHistory& r           = routers[*rc::gen::inRange<size_t>(0, kRouters)];
+                               const auto    request     = *rc::gen::inRange<uint64_t>(1, 4);
+                               const auto    incarnation = *rc::gen::inRange<uint64_t>(1, 9);
+                               const auto    action      = *rc::gen::inRange(0, 4);
+                               if (action == 0)
                                    r.OnAnswered(request);
-                               else if (what == 1)
+                               else if (action == 1)
                                    SendChanges(r, routers[*rc::gen::inRange<size_t>(0, kRouters)], now);
                                else
-                                   r.OnCrash(request, life, now);
+                                   r.OnCrash(request, incarnation, now);
                            }
                            for (int round = 0; round < 3; round++)
                                for (CrashHistory& from : routers)
@@ -175,14 +175,14 @@
 BOOST_AUTO_TEST_CASE(merging_an_echoed_record_changes_nothing)
 {
     CrashHistory h;
-    for (uint64_t life : {1, 2, 3})
-        h.OnCrash(7, life, kStart);
+    for (uint64_t incarnation : {1, 2, 3})
+        h.OnCrash(7, incarnation, kStart);
     BOOST_TEST(!h.CheckBlocked(7, kStart + kInitialBlock));
-    CrashRecord back = *h.FindRecord(7);
-    for (ObservedCrash& c : back.m_Crashes)
+    CrashRecord echoed = *h.FindRecord(7);
+    for (ObservedCrash& c : echoed.m_Crashes)
         c.m_At += seconds(2);
-    back.m_TrialAt += seconds(2);
-    BOOST_TEST(h.Merge(back, kStart + kInitialBlock + seconds(2)) == MergeResult_Unchanged);
+    echoed.m_TrialAt += seconds(2);
+    BOOST_TEST(h.Merge(echoed, kStart + kInitialBlock + seconds(2)) == MergeResult_Unchanged);
 }
 
 // Guards against blocking requests that only share servers with one that crashes them: 12 servers run 16 requests each, one request crashes three
--- a/tests/test_journal.cpp
+++ b/tests/test_journal.cpp
@@ -111,7 +111,7 @@
                            int64_t                     now  = kStart + 10'000;
                            auto                        home = std::make_unique<KeyJournal>(cfg, kStart);
                            std::map<std::string, int>  runs;
-                           std::set<std::string>       told_not_run;
+                           std::set<std::string>       reported_not_run;
                            std::map<std::string, bool> running; // handed over, not yet finished
                            std::vector<std::string>    keys;
                            const auto                  steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8));
@@ -143,7 +143,7 @@
                                    running[key] = true;
                                }
                                if (a.m_Type == JournalType_FromFuture || a.m_Type == JournalType_Refused)
-                                   RC_ASSERT(runs[key] == 0); // told "not run"
+                                   RC_ASSERT(runs[key] == 0); // reported "not run"
                            }
                            for (const auto& [key, count] : runs)
                                RC_ASSERT(count <= 1);
--- a/tests/test_limits.cpp
+++ b/tests/test_limits.cpp
@@ -48,7 +48,7 @@
                 const auto mine = m_Limits[i]->Tick(m_Now);
                 for (size_t j = 0; j < m_Limits.size(); j++)
                     if (j != i)
-                        m_Limits[j]->OnPeer("r" + std::to_string(i), mine, m_Now);
+                        m_Limits[j]->OnPeerRates("r" + std::to_string(i), mine, m_Now);
             }
         }
         return admitted / (seconds_long / 2);
@@ -226,7 +226,7 @@
 BOOST_AUTO_TEST_CASE(an_answer_that_has_begun_is_not_ended_before_its_time)
 {
     const TimePoint deadline = TimePoint{} + seconds(100);
-    BOOST_TEST((AttemptEnds(deadline, false) < deadline));
-    BOOST_TEST((AttemptEnds(deadline, true) > deadline));
-    BOOST_TEST((AttemptEnds(deadline, true) < deadline + milliseconds(250))); // what a route's time may be passed by
+    BOOST_TEST((AttemptDeadline(deadline, false) < deadline));
+    BOOST_TEST((AttemptDeadline(deadline, true) > deadline));
+    BOOST_TEST((AttemptDeadline(deadline, true) < deadline + milliseconds(250))); // what a route's time may be passed by
 }
--- a/tests/test_routing_world.cpp
+++ b/tests/test_routing_world.cpp
@@ -11,84 +11,84 @@
 constexpr auto    kDeadline = milliseconds(8000); // from naming until no older version may begin
 const std::string kModel    = "model";
 
-TimePoint NamedAt(RoutingWorld& world, uint64_t version)
+TimePoint DeclaredAt(RoutingState& world, uint64_t version)
 {
-    return world.m_Weights[kModel].at(version).m_At;
+    return world.m_TargetVersions[kModel].at(version).m_At;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(a_router_that_started_after_a_naming_takes_its_time_from_an_agent_that_was_there)
 {
-    RoutingWorld world;
-    BOOST_TEST(NoteNamed(world, kModel, 2, AssumedNaming(kStart, kDeadline)));
-    BOOST_TEST((NamedAt(world, 2) + kDeadline < kStart + seconds(3))); // nobody told: older weights get a short while only
-    const NamedAge there[] = {{2, 1500}};
-    NoteReported(world, kModel, there, kDeadline, kStart);
-    BOOST_TEST((NamedAt(world, 2) == kStart - milliseconds(1500)));
+    RoutingState world;
+    BOOST_TEST(RecordTargetVersion(world, kModel, 2, AssumeDeclarationTime(kStart, kDeadline)));
+    BOOST_TEST((DeclaredAt(world, 2) + kDeadline < kStart + seconds(3))); // nobody told: older weights get a short while only
+    const NamedAge observed[] = {{2, 1500}};
+    RecordReportedVersions(world, kModel, observed, kDeadline, kStart);
+    BOOST_TEST((DeclaredAt(world, 2) == kStart - milliseconds(1500)));
 }
 
 BOOST_AUTO_TEST_CASE(the_earliest_sure_time_counts)
 {
-    RoutingWorld   world;
-    const NamedAge late[]     = {{2, 300}};
-    const NamedAge early[]    = {{2, 900}};
-    const NamedAge ignorant[] = {{2, -1}};
-    NoteReported(world, kModel, late, kDeadline, kStart);
-    NoteReported(world, kModel, early, kDeadline, kStart);
-    NoteReported(world, kModel, late, kDeadline, kStart);
-    NoteReported(world, kModel, ignorant, kDeadline, kStart);
-    BOOST_TEST((NamedAt(world, 2) == kStart - milliseconds(900)));
+    RoutingState   world;
+    const NamedAge later_estimate[]   = {{2, 300}};
+    const NamedAge earlier_estimate[] = {{2, 900}};
+    const NamedAge unobserved[]       = {{2, -1}};
+    RecordReportedVersions(world, kModel, later_estimate, kDeadline, kStart);
+    RecordReportedVersions(world, kModel, earlier_estimate, kDeadline, kStart);
+    RecordReportedVersions(world, kModel, later_estimate, kDeadline, kStart);
+    RecordReportedVersions(world, kModel, unobserved, kDeadline, kStart);
+    BOOST_TEST((DeclaredAt(world, 2) == kStart - milliseconds(900)));
 }
 
 // The store keeps the newest naming only; the deadline of the one before still binds.
 BOOST_AUTO_TEST_CASE(a_version_named_between_two_others_is_learned_from_agents)
 {
-    RoutingWorld world;
-    NoteNamed(world, kModel, 3, {kStart - seconds(1), true});
-    const NamedAge there[] = {{2, 4000}, {3, 1000}};
-    NoteReported(world, kModel, there, kDeadline, kStart);
-    BOOST_REQUIRE(world.m_Weights[kModel].contains(2));
-    BOOST_TEST((NamedAt(world, 2) == kStart - seconds(4)));
-    BOOST_TEST((NamedAt(world, 3) == kStart - seconds(1)));
+    RoutingState world;
+    RecordTargetVersion(world, kModel, 3, {kStart - seconds(1), true});
+    const NamedAge observed[] = {{2, 4000}, {3, 1000}};
+    RecordReportedVersions(world, kModel, observed, kDeadline, kStart);
+    BOOST_REQUIRE(world.m_TargetVersions[kModel].contains(2));
+    BOOST_TEST((DeclaredAt(world, 2) == kStart - seconds(4)));
+    BOOST_TEST((DeclaredAt(world, 3) == kStart - seconds(1)));
 }
 
 BOOST_AUTO_TEST_CASE(an_assumed_time_of_an_older_version_says_nothing)
 {
-    RoutingWorld world;
-    NoteNamed(world, kModel, 3, {kStart, true});
-    BOOST_TEST(!NoteNamed(world, kModel, 2, AssumedNaming(kStart, kDeadline)));
-    BOOST_TEST(!world.m_Weights[kModel].contains(2));
+    RoutingState world;
+    RecordTargetVersion(world, kModel, 3, {kStart, true});
+    BOOST_TEST(!RecordTargetVersion(world, kModel, 2, AssumeDeclarationTime(kStart, kDeadline)));
+    BOOST_TEST(!world.m_TargetVersions[kModel].contains(2));
 }
 
 BOOST_AUTO_TEST_CASE(only_the_newest_versions_are_remembered_and_old_ones_do_not_come_back)
 {
-    RoutingWorld world;
+    RoutingState world;
     for (uint64_t v = 2; v < 30; v++)
-        NoteNamed(world, kModel, v, {kStart, true});
-    const size_t kept = world.m_Weights[kModel].size();
+        RecordTargetVersion(world, kModel, v, {kStart, true});
+    const size_t kept = world.m_TargetVersions[kModel].size();
     BOOST_TEST(kept < 28u);
-    BOOST_TEST(!NoteNamed(world, kModel, 2, {kStart, true}));
-    BOOST_TEST(world.m_Weights[kModel].size() == kept);
-    BOOST_TEST(!world.m_Weights[kModel].contains(2));
+    BOOST_TEST(!RecordTargetVersion(world, kModel, 2, {kStart, true}));
+    BOOST_TEST(world.m_TargetVersions[kModel].size() == kept);
+    BOOST_TEST(!world.m_TargetVersions[kModel].contains(2));
 }
 
 BOOST_AUTO_TEST_CASE(declarations_are_doubted_while_a_newer_row_is_known_or_nobody_has_confirmed_them_for_long)
 {
-    const auto doubted = [](uint64_t held, uint64_t heard, Duration checked_age) {
-        return DeclarationsDoubted({held, heard, kStart - checked_age, "store"}, kStart);
+    const auto may_be_stale = [](uint64_t held, uint64_t newest, Duration checked_age) {
+        return DeclarationsMayBeStale({held, newest, kStart - checked_age, "store"}, kStart);
     };
-    BOOST_TEST(!doubted(7, 7, milliseconds(0)));
-    BOOST_TEST(!doubted(7, 7, milliseconds(1250))); // as old as a confirmation gets while all goes well
-    BOOST_TEST(!doubted(7, 7, milliseconds(1500)));
-    BOOST_TEST(doubted(7, 7, milliseconds(1501)));
-    BOOST_TEST(doubted(7, 8, milliseconds(0)));
-    BOOST_TEST(doubted(7, 8, seconds(60)));
-    BOOST_TEST(DeclarationsDoubted({7, 7, TimePoint{}, "store"}, kStart)); // never confirmed
+    BOOST_TEST(!may_be_stale(7, 7, milliseconds(0)));
+    BOOST_TEST(!may_be_stale(7, 7, milliseconds(1250))); // as old as a confirmation gets while all goes well
+    BOOST_TEST(!may_be_stale(7, 7, milliseconds(1500)));
+    BOOST_TEST(may_be_stale(7, 7, milliseconds(1501)));
+    BOOST_TEST(may_be_stale(7, 8, milliseconds(0)));
+    BOOST_TEST(may_be_stale(7, 8, seconds(60)));
+    BOOST_TEST(DeclarationsMayBeStale({7, 7, TimePoint{}, "store"}, kStart)); // never confirmed
 }
 
 BOOST_AUTO_TEST_CASE(declarations_that_nobody_follows_are_not_doubted)
 {
-    BOOST_TEST(!DeclarationsDoubted({}, kStart));
-    BOOST_TEST(!DeclarationsDoubted({0, 8, TimePoint{}, {}}, kStart));
+    BOOST_TEST(!DeclarationsMayBeStale({}, kStart));
+    BOOST_TEST(!DeclarationsMayBeStale({0, 8, TimePoint{}, {}}, kStart));
 }
--- a/tests/test_server_limit_shares.cpp
+++ b/tests/test_server_limit_shares.cpp
@@ -11,8 +11,8 @@
 const TimePoint  kStart  = TimePoint{} + seconds(100'000);
 const ServerLife kServer = {"i-1", 17};
 
-constexpr auto kGrace  = milliseconds(500); // from the first answer with a limit to a router until its requests are counted
-constexpr auto kWindow = seconds(4);
+constexpr auto kUncountedInterval = milliseconds(500); // from the first answer with a limit to a router until its requests are counted
+constexpr auto kWindow            = seconds(4);
 
 std::vector<std::string> Addresses(size_t count)
 {
@@ -52,7 +52,7 @@
                 r.OnAnswer(kServer, requests_per_s, now, now);
                 m_Received++;
                 first_answers[i] = first_answers[i] == TimePoint{} ? now : first_answers[i];
-                if (now < first_answers[i] + kGrace)
+                if (now < first_answers[i] + kUncountedInterval)
                     continue;
                 counted.push_back(now);
                 while (counted.front() <= now - kWindow)
--- a/tests/test_usage.cpp
+++ b/tests/test_usage.cpp
@@ -41,7 +41,7 @@
         b.Record({"s", "x", Verdict_NotRun, false, 0, 0, 0}, now - std::chrono::minutes(20)); // outside the shortest window
     json::array rows = a.BurnRows(now);
     MergeBurn(rows, b.BurnRows(now));
-    RateBurn(rows, {{"s", 0.05}});
+    AddBurnRates(rows, {{"s", 0.05}});
     BOOST_REQUIRE_EQUAL(rows.size(), 1u);
     const json::array& windows = rows[0].at("windows").as_array();
     BOOST_CHECK_EQUAL(windows[0].at("burn").to_number<double>(), 0.0);
