--- a/src/request/crash_detector.cpp
+++ b/src/request/crash_detector.cpp
@@ -8,10 +8,11 @@
 namespace
 {
 
-constexpr auto kCheckDelay     = milliseconds(50);  // the other connections of an exiting process break within this time
-constexpr auto kConnectTimeout = milliseconds(300); // a refusal takes one round trip
+constexpr auto kCheckDelay     = milliseconds(50);  // within this time the other connections of an exiting process break as well
+constexpr auto kConnectTimeout = milliseconds(300); // a refused connection takes one round trip
 
-// Other failures to connect say nothing of the server: this process may be out of descriptors, or the network may be unreachable.
+// Returns true only for ECONNREFUSED. Other failures to connect are inconclusive: this process may be out of file descriptors, or the network may be
+// unreachable.
 awaitable<bool> IsConnectionRefused(Endpoint address)
 {
     using namespace asio::experimental::awaitable_operators;
--- a/src/request/crash_history.h
+++ b/src/request/crash_history.h
@@ -1,19 +1,20 @@
 // aldervale: history of requests that crash servers, used to block them
 //
 // Performs no I/O and reads no clock. A request is identified by the hash of its content (request_hash.h), because each attempt of a caller has its
-// own id and may reach any router.
+// own id and may reach any router. A server is identified by the hash of its incarnation (one run of the server process).
 //
 // Blocking rules:
-//   - A request is blocked after kCrashesToBlock different servers (lifetimes) crashed while running it, unless a server has answered it completely
-//     since. A crash also interrupts the other requests at that server; few of these lose three servers, and one complete answer at any router
+//   - A request is blocked after kCrashesToBlock different servers (incarnations) crashed while running it, unless a server has since answered it
+//     completely. A crash also interrupts the other requests at that server; few of these lose three servers, and one complete answer at any router
 //     clears them. With 192 requests in flight at 12 servers, 191 x (1 / 12)^3 = 0.11 other requests on average lose the same three servers.
 //   - A block ends kInitialBlock after the last crash; the time doubles with each further crash. Then one attempt at a time is let through as
 //     a trial, so that the request is served again once the service is fixed. After kTrialsMax trials that crash servers, the block lasts until the
 //     record expires.
 //
-// Records of different routers are merged: the union of the crashes and of their cleared flags, and the latest trial. Merging is commutative and
-// idempotent, so changes are sent kSendCount times without acknowledgement, and records of blocked requests are resent periodically. The cleared flag
-// is kept for each crashed server instead of being derived from times, because times are sent as ages, which grow by the transit time.
+// Records of different routers are merged: the result has the crashes of both records, a crash is cleared if either record says so, and the later
+// trial counts. Merging is commutative and idempotent, so each change is sent kSendCount times without acknowledgement, and records of blocked
+// requests are resent periodically. The cleared flag is stored for each crash instead of being derived from times, because times are sent as ages and
+// shift by the transit time.
 //
 // Usage:
 //   CrashHistory h;
@@ -37,10 +38,10 @@
 constexpr size_t   kTrialsMax           = 3;            // trials that crash servers, after which the block lasts until the record expires
 constexpr auto     kInitialBlock        = seconds(600); // after the last crash; doubles with each further crash
 constexpr auto     kTrialTimeout        = seconds(30);  // time after which the next trial may start if the outcome of the last one is unknown
-constexpr auto     kUnblockedRetention  = seconds(600); // of other records, after the last crash or trial
-constexpr auto     kBlockedRetention    = std::chrono::hours(24); // of blocked records
+constexpr auto     kUnblockedRetention  = seconds(600); // of records that are not blocked, after the last crash or trial
+constexpr auto     kBlockedRetention    = std::chrono::hours(24); // of blocked records, after the last crash or trial
 constexpr size_t   kRecordsMax          = 1024;                   // the oldest record that is not blocked is evicted first
-constexpr size_t   kCrashesPerRecordMax = 16;                     //
+constexpr size_t   kCrashesPerRecordMax = 16;                     // when full, the oldest cleared crash is evicted, else the oldest
 constexpr unsigned kSendCount           = 3;                      // times each change is sent; datagrams may be lost
 
 struct ObservedCrash
@@ -53,8 +54,8 @@
 struct CrashRecord // history of one request
 {
     uint64_t                   m_Request = 0; // HashRequest()
-    std::vector<ObservedCrash> m_Crashes;     // sorted by time; one for each server; at most kCrashesPerRecordMax
-    TimePoint                  m_TrialAt{};   // start of the last trial; default: none
+    std::vector<ObservedCrash> m_Crashes;     // sorted by time; one for each incarnation; at most kCrashesPerRecordMax
+    TimePoint                  m_TrialAt{};   // start of the last trial; default value: none
 
     size_t UnclearedCount() const;
 };
@@ -79,15 +80,15 @@
     bool                     IsBlocked(uint64_t request, TimePoint now) const; // like CheckBlocked() without starting a trial
     size_t                   BlockedCount(TimePoint now) const;
     const CrashRecord*       FindRecord(uint64_t request) const;      // null if there is none
-    std::vector<CrashRecord> TakeChanged();                           // changed locally and due to be sent to the other routers
+    std::vector<CrashRecord> TakeChanged();                           // records that changed locally and must be sent to the other routers
     std::vector<CrashRecord> RecordsToResend() const;                 // records of requests with at least kCrashesToBlock uncleared crashes
-    static TimePoint         BlockedUntil(const CrashRecord& record); // default: not blocked; max: until the record expires
+    static TimePoint         BlockedUntil(const CrashRecord& record); // default value: not blocked; TimePoint::max(): until the record expires
 
 private:
     struct Entry
     {
         CrashRecord m_Record;        //
-        unsigned    m_SendsLeft = 0; //
+        unsigned    m_SendsLeft = 0; // number of times that the record is still to be sent
     };
 
     Entry& FindOrAdd(uint64_t request, TimePoint now);
--- a/src/request/fair_queue.cpp
+++ b/src/request/fair_queue.cpp
@@ -1,4 +1,4 @@
-// Fair queueing. See fair_queue.h.
+// Start-time fair queueing over client accounts. See fair_queue.h.
 #include "request/fair_queue.h"
 #include <algorithm>
 #include <boost/assert.hpp>
@@ -78,7 +78,7 @@
     BOOST_ASSERT_MSG(m_Running > 0, "OnEnd() without a running request");
     m_Running--;
     if (Waiting() == 0 && m_Running == 0)
-        m_Accounts.clear(); // an idle server has no memory of who was ahead
+        m_Accounts.clear(); // finish tags are irrelevant once nothing runs or waits
 }
 
 } // namespace aldervale
--- a/src/request/homes.cpp
+++ b/src/request/homes.cpp
@@ -1,4 +1,4 @@
-// Homes of keys. See homes.h.
+// Assignment of keys to homes. See homes.h.
 #include "request/homes.h"
 #include <boost/assert.hpp>
 
--- a/src/request/homes.h
+++ b/src/request/homes.h
@@ -1,7 +1,8 @@
-// aldervale: the home of a key, the one replica that may run it
+// aldervale: the home of a key, the one box that may run calls with this key
 //
-// Pure. Homes are the boxes of a service in declared order; the slot is chosen by rendezvous hash over slot numbers, so replacing the
-// box in a slot moves only the keys of that slot. Router and agent must mean the same list: calls carry HomesEpoch().
+// Performs no I/O. The boxes of a service, in declared order, fill numbered slots. A key is assigned to a slot by rendezvous hashing over the slot
+// numbers, so replacing the box in a slot moves only the keys of that slot. Router and agent must use the same list of boxes, so calls carry
+// HomesEpoch().
 
 #pragma once
 #include "process/resources.h"
@@ -9,8 +10,8 @@
 namespace aldervale
 {
 
-std::string HomeOf(const ServiceSpec& s, std::string_view key); // box name; the service must have boxes
-uint64_t    HomesEpoch(const ServiceSpec& s);                   // changes with the list of homes
-bool        NeedsKey(const ServiceSpec& s, std::string_view method);
+std::string HomeOf(const ServiceSpec& s, std::string_view key);      // name of the box; the service must have at least one
+uint64_t    HomesEpoch(const ServiceSpec& s);                        // hash of the list of boxes
+bool        NeedsKey(const ServiceSpec& s, std::string_view method); // whether calls with this method must carry an Idempotency-Key
 
 } // namespace aldervale
--- a/src/request/key_journal.cpp
+++ b/src/request/key_journal.cpp
@@ -125,7 +125,7 @@
     m_Entries.fetch_sub(1);
 }
 
-// What is forgotten raises the horizon, so that a repeat of it is refused as "may have run" and never runs again.
+// Raises the horizon to the evicted key, so that a repeated call with this key is refused as "may have run" and never runs twice.
 void KeyJournal::EvictLocked(Shard& s)
 {
     while (!s.m_Finished.empty() && (s.m_Entries.size() > m_Config.m_MaxEntries / kShards || s.m_Bytes > m_Config.m_MaxBytes / kShards))
--- a/src/request/limits.cpp
+++ b/src/request/limits.cpp
@@ -1,4 +1,4 @@
-// Shared limits of client accounts. See limits.h.
+// Rate limits per client account, shared between routers. See limits.h.
 #include "request/limits.h"
 
 namespace aldervale
@@ -77,7 +77,7 @@
         std::lock_guard lock(shard.m_Mutex);
         for (auto& [name, a] : shard.m_Accounts)
             if (const auto it = a.m_Peers.find(router); it != a.m_Peers.end())
-                it->second = {0, now}; // what it doesn't name it doesn't see
+                it->second = {0, now}; // accounts missing from the report have no demand at that router
     }
     for (const AccountRate& r : rates)
     {
--- a/src/request/request_hash.cpp
+++ b/src/request/request_hash.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Prefixes the field with its length, so that different lists of fields never concatenate to the same bytes.
+// Appends the field prefixed with its length, so that different lists of fields never produce the same bytes.
 void AppendField(std::string& out, std::string_view field)
 {
     out.append(std::to_string(field.size())).append(":").append(field);
--- a/src/request/request_hash.h
+++ b/src/request/request_hash.h
@@ -1,7 +1,8 @@
 // aldervale: content hash of a request
 //
 // Each attempt of a caller has its own id, so repeated requests are identified by their content: account, method, host, path and body. The query is
-// included only if there is no body. The hash is taken from SHA-256, so that a caller can't craft a request with the hash of another caller's.
+// included only if there is no body. The hash is a part of a SHA-256 digest, so that a caller can't craft a request with the hash of another
+// caller's.
 
 #pragma once
 #include <cstdint>
--- a/src/request/request_protocol.h
+++ b/src/request/request_protocol.h
@@ -1,6 +1,6 @@
-// aldervale: what a request and an answer say, apart from how a platform writes it
+// aldervale: the content of requests and answers, independent of the headers in which a platform encodes it
 //
-// An adapter implements RequestProtocol. It translates names and formats and decides nothing.
+// Each platform implements RequestProtocol as an adapter, which translates names and formats and makes no decisions.
 
 #pragma once
 #include "connection/http.h"
@@ -11,32 +11,32 @@
 
 struct CallerRequest // decoded once from a caller's request
 {
-    std::string             m_Id;                  // of this attempt of the caller
+    std::string             m_Id;                  // id of the caller's attempt
     std::string             m_Host;                //
-    std::string             m_ApiKey;              // of the client account; empty: none was sent
-    std::optional<Duration> m_Remaining;           // how long the caller will wait
-    double                  m_PromptTokens    = 0; // tokens in
-    double                  m_MaxAnswerTokens = 0; // tokens out at most
-    std::string             m_ResumeAfter;         // streams: id of the last event the caller has; empty: from the start
+    std::string             m_ApiKey;              // key of the client account; empty: none was sent
+    std::optional<Duration> m_Remaining;           // time that the caller will still wait
+    double                  m_PromptTokens    = 0; // tokens of the prompt; 0: unknown
+    double                  m_MaxAnswerTokens = 0; // maximum number of tokens of the answer; 0: unknown
+    std::string             m_ResumeAfter;         // streams: id of the last event that the caller has received; empty: from the start
 };
 
-struct ForwardFields // what the router adds to a request that it sends to a backend server
+struct ForwardFields // added by the router to a request that it sends to a backend server
 {
-    std::string m_ServerId;           // only this lifetime of the server may run it
+    std::string m_ServerId;           // only this incarnation (run of the server process) may run the request
     std::string m_Account;            // name of the caller's account; empty: none
-    Duration    m_Remaining{};        // after which nobody waits for the answer
+    Duration    m_Remaining{};        // time for which the caller waits for the answer
     unsigned    m_Priority       = 5; // 0 is the most urgent
-    uint64_t    m_WeightsVersion = 0; // only weights of this version may run it; 0: any
+    uint64_t    m_WeightsVersion = 0; // only weights of this version may run the request; 0: any
     std::string m_ResumeAfter;        // streams: id of the last event delivered; empty: from the start
 };
 
 struct ServerAnswer // decoded once from the head of a backend server's answer
 {
-    std::string m_RequestId;      // of the request that it answers
-    bool        m_NotRun = false; // the server says that it did not and will not run the request
-    bool        m_Stream = false; // an event stream follows
+    std::string m_RequestId;      // id of the request that it answers
+    bool        m_NotRun = false; // the server states that it did not and will not run the request
+    bool        m_Stream = false; // the body is an event stream
 
-    std::optional<double> m_RateLimit; // requests per second, from all routers together; finite and not negative; none: no limit
+    std::optional<double> m_RateLimit; // requests per second accepted from all routers together; finite and not negative; none: no limit
 };
 
 class RequestProtocol
@@ -46,7 +46,7 @@
     virtual Result<CallerRequest> DecodeRequest(const HttpRequest& req) const                     = 0;
     virtual HttpRequest           Forward(const HttpRequest& req, const ForwardFields& add) const = 0;
     virtual ServerAnswer          DecodeAnswer(const HttpResponse& head) const                    = 0;
-    virtual HttpFields            CallerFields(const HttpResponse& head) const                    = 0; // of an answer passed on
+    virtual HttpFields            CallerFields(const HttpResponse& head) const                    = 0; // fields of a relayed answer for the caller
     virtual HttpResponse MakeLocalResponse(const CallerRequest& req, unsigned status, std::string_view reason, Duration retry_after) const = 0;
 };
 
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -1,8 +1,8 @@
-// aldervale: when a failed attempt may be made again
+// aldervale: decides whether a failed attempt may be retried
 //
-// Pure. A retry needs all of: the verdict allows it (NotRun always, MayHaveRun only for repeatable requests of which no byte of answer
-// reached the caller), time before the deadline, attempts left, and a token of the budget. The budget gains a part of a token with each
-// request, so that retries can't multiply an overload.
+// Performs no I/O and reads no clock. A retry requires all of: a verdict that allows it (NotRun always; MayHaveRun only if the request is repeatable
+// and no byte of the answer has reached the caller), time before the deadline, a remaining attempt, and a token of the budget. The budget gains a
+// fraction of a token with each request, so that retries can't multiply the load of an overload.
 
 #pragma once
 #include "common/clock.h"
@@ -15,11 +15,11 @@
 
 struct RetryConfig
 {
-    unsigned m_MaxAttempts      = 3;               // first one included
-    double   m_TokensPerRequest = 0.2;             // tokens gained with each request
-    double   m_BudgetMaxTokens  = 20;              // tokens that may gather
-    double   m_ReservedTokens   = 0;               // of these, left for answers that have answer_begun: their callers lose what they have
-    Duration m_MinRemaining     = milliseconds(5); // time before the deadline below which no attempt is answer_begun
+    unsigned m_MaxAttempts      = 3;   // including the first
+    double   m_TokensPerRequest = 0.2; // tokens gained with each request
+    double   m_BudgetMaxTokens  = 20;  // maximum number of tokens
+    double   m_ReservedTokens   = 0;   // tokens reserved for attempts whose answer has begun, as a failure loses what the caller has received
+    Duration m_MinRemaining     = milliseconds(5); // minimum time before the deadline for a new attempt
 };
 
 class RetryBudget // thread-safe
@@ -33,7 +33,7 @@
         m_Tokens = std::min(m_Config.m_BudgetMaxTokens, m_Tokens + m_Config.m_TokensPerRequest);
     }
 
-    bool TryTake(bool answer_begun = false) // answer_begun: some of the answer went to the caller
+    bool TryTake(bool answer_begun = false) // answer_begun: a part of the answer was sent to the caller
     {
         std::lock_guard lock(m_Mutex);
         if (m_Tokens < 1 + (answer_begun ? 0 : m_Config.m_ReservedTokens))
@@ -42,7 +42,7 @@
         return true;
     }
 
-    void ReturnToken() // a token that was taken for a retry that wasn't made
+    void ReturnToken() // returns a token that was taken for a retry that was not made
     {
         std::lock_guard lock(m_Mutex);
         m_Tokens = std::min(m_Config.m_BudgetMaxTokens, m_Tokens + 1);
@@ -56,21 +56,22 @@
     double      m_Tokens; // 0 to m_BudgetMaxTokens
 };
 
-// When an attempt ends for its deadline. One that has no answer yet ends a little before, so that its caller can still be told; one whose answer has
-// answer_begun has nothing to be told but its last bytes, which may be on their way for a little longer.
+// Returns the time at which an attempt is ended because of its deadline. Without an answer, an attempt ends slightly before the deadline, so that an
+// error response still reaches the caller in time. Once the answer has begun, no error response is possible; the attempt ends slightly after the
+// deadline, because the last bytes may still be in transit.
 inline TimePoint AttemptDeadline(TimePoint deadline, bool answer_begun)
 {
     constexpr auto kErrorReplyTime = milliseconds(20);
-    constexpr auto kLastBytesTime  = milliseconds(50); // a way between data centres and a wait on a busy link
+    constexpr auto kLastBytesTime  = milliseconds(50); // transit between data centres and queueing on a busy link
     return answer_begun ? deadline + kLastBytesTime : deadline - kErrorReplyTime;
 }
 
 struct AttemptOutcome
 {
     Verdict  m_Verdict     = Verdict_NotRun; //
-    bool     m_Repeatable  = false;          // by the service's declaration
-    bool     m_AnswerBegun = false;          // a byte of the answer reached the caller
-    unsigned m_Attempts    = 1;              // made so far
+    bool     m_Repeatable  = false;          // as declared for the service
+    bool     m_AnswerBegun = false;          // at least one byte of the answer reached the caller
+    unsigned m_Attempts    = 1;              // attempts made so far
 };
 
 inline bool MayRetry(const AttemptOutcome& o, TimePoint deadline, TimePoint now, RetryBudget& budget)
--- a/src/request/routing_world.cpp
+++ b/src/request/routing_world.cpp
@@ -1,4 +1,4 @@
-// What a router believes of the world. See routing_world.h.
+// State from which a router routes requests. See routing_world.h.
 #include "request/routing_world.h"
 #include "common/log.h"
 
@@ -8,16 +8,16 @@
 namespace
 {
 
-constexpr uint64_t kFirstVersion            = 1;                  // in force without having been named
-constexpr size_t   kVersionsRemembered      = 8;                  // of a model's weights, for their deadlines
-constexpr auto     kUnknownDeclarationGrace = milliseconds(2500); // that older weights may be used when it isn't known when a version was named
+constexpr uint64_t kFirstVersion            = 1;                  // served from the start, without a declaration
+constexpr size_t   kVersionsRemembered      = 8;                  // number of versions of a model's weights whose deadlines are kept
+constexpr auto     kUnknownDeclarationGrace = milliseconds(2500); // time for which older weights may be used if the declaration time is unknown
 
 bool IsBetterEstimate(const DeclarationTime& a, const DeclarationTime& than)
 {
     return a.m_Observed && (!than.m_Observed || a.m_At < than.m_At);
 }
 
-// False: all that are remembered are newer.
+// Returns false if there is no room because all recorded versions are newer.
 bool EvictOldestFor(DeclaredVersions& versions, uint64_t version)
 {
     if (versions.size() < kVersionsRemembered)
@@ -35,9 +35,9 @@
     return {now - deadline + std::min<Duration>(deadline, kUnknownDeclarationGrace), false};
 }
 
-bool RecordTargetVersion(RoutingState& world, const std::string& model, uint64_t version, DeclarationTime declared)
+bool RecordTargetVersion(RoutingState& state, const std::string& model, uint64_t version, DeclarationTime declared)
 {
-    DeclaredVersions& versions = world.m_TargetVersions[model];
+    DeclaredVersions& versions = state.m_TargetVersions[model];
     const uint64_t    newest   = versions.empty() ? kFirstVersion : versions.rbegin()->first;
     const auto        known    = versions.find(version);
     if (known != versions.end())
@@ -46,7 +46,7 @@
             known->second = declared;
         return false;
     }
-    const bool uninformative = version < newest && !declared.m_Observed; // of an older version: says nothing
+    const bool uninformative = version < newest && !declared.m_Observed; // an assumed time of an older version gives no information
     if (version <= kFirstVersion || uninformative || !EvictOldestFor(versions, version))
         return false;
     versions[version] = declared;
@@ -54,12 +54,12 @@
     return version > newest;
 }
 
-void RecordReportedVersions(RoutingState& world, const std::string& model, std::span<const NamedAge> named, Duration deadline, TimePoint now)
+void RecordReportedVersions(RoutingState& state, const std::string& model, std::span<const NamedAge> named, Duration deadline, TimePoint now)
 {
     for (const NamedAge& n : named)
     {
         const DeclarationTime declared = n.m_AgeMs >= 0 ? DeclarationTime{now - milliseconds(n.m_AgeMs), true} : AssumeDeclarationTime(now, deadline);
-        RecordTargetVersion(world, model, n.m_Version, declared);
+        RecordTargetVersion(state, model, n.m_Version, declared);
     }
 }
 
--- a/src/request/routing_world.h
+++ b/src/request/routing_world.h
@@ -1,9 +1,12 @@
-// aldervale: what a router believes of the world, from its platform's tables and from agents' reports
+// aldervale: the state from which a router routes requests: declarations, list of servers and target versions of weights
+//
+// The state is filled from the platform's tables and from the reports of agents. The target version is the version of a model's weights that
+// operators declared last. From the time of its declaration until the weights deadline, servers may still start requests with older versions.
 //
 // Usage:
-//   RoutingState world;
-//   RecordTargetVersion(world, "model-a", 7, {Now(), true});
-//   ForEachServer(world, [](const Service& s, const ServerEntry& e) { ... });
+//   RoutingState state;
+//   RecordTargetVersion(state, "model-a", 7, {Now(), true});
+//   ForEachServer(state, [](const Service& s, const ServerEntry& e) { ... });
 
 #pragma once
 #include "common/load_report.h"
@@ -14,58 +17,64 @@
 namespace aldervale
 {
 
-constexpr auto kConfirmationMaxAge = milliseconds(1500); // without a confirmation; while all goes well one is 1.2 s old at most
+// Declarations whose last confirmation is older may be stale. In normal operation it is at most 1.2 s old.
+constexpr auto kConfirmationMaxAge = milliseconds(1500);
 
-// When a version of weights was named, as this process believes.
+// Estimate of the time when a version of weights was declared as target version. The time is observed if a process saw the declaration happen, or
+// assumed for a version that was declared before this process started.
 struct DeclarationTime
 {
-    TimePoint m_At{};             // not before the true time, if m_Observed
-    bool      m_Observed = false; // somebody was there; else m_At is assumed, for a version named before this process started
+    TimePoint m_At{};             // if m_Observed, not before the true time
+    bool      m_Observed = false; // false: m_At is assumed
 };
 
-// Of a version that was named at an unknown time: older weights get only a short while. `deadline`: from declared until nobody may use them.
+// Returns the time to assume for a version that was declared at an unknown time, so that older versions may be used only for a short time from now.
+// `deadline` is the weights deadline: the time from the declaration after which no older version may start a request.
 DeclarationTime AssumeDeclarationTime(TimePoint now, Duration deadline);
 
-// By version. A version's deadline stays when a newer one is named.
+// Declaration times by version. A newer target version does not change the deadlines set by earlier ones.
 using DeclaredVersions = std::map<uint64_t, DeclarationTime>;
 
-// How sure a router is that its declarations are the newest. Row versions are the store's.
+// Whether the declarations of a router are the newest. Rows are identified by their version in the store.
 struct DeclarationsFreshness
 {
-    uint64_t    m_HeldRow   = 0; // newest row that this router holds
-    uint64_t    m_NewestRow = 0; // newest row that some router has told of; over m_HeldRow: this one is behind, and fetching it
-    TimePoint   m_ConfirmedAt{}; // when the store last said, to this router or to one that told it, that m_HeldRow is the newest
-    std::string m_Source;        // who gave m_HeldRow: "store", or the address of a router
+    uint64_t    m_HeldRow   = 0; // version of the newest row that this router has
+    uint64_t    m_NewestRow = 0; // version of the newest row reported by any router; above m_HeldRow: this router is behind and fetches it
+    TimePoint   m_ConfirmedAt{}; // last time the store confirmed m_HeldRow as the newest, to this router or to one that reported it
+    std::string m_Source;        // where m_HeldRow came from: "store" or the address of a router
 };
 
-struct RoutingState // touched on one thread
+struct RoutingState // used on one thread
 {
-    RouteTablePtr                           m_Routes;                 // null until the first declarations are known; its version only rises
-    TimePoint                               m_RoutesReceivedAt{};     // when they were learned
+    RouteTablePtr                           m_Routes;                 // null until the first declarations are received; its version never falls
+    TimePoint                               m_RoutesReceivedAt{};     // time when m_Routes was received
     DeclarationsFreshness                   m_Freshness;              // of m_Routes
     ServerDirectory                         m_Servers;                //
-    bool                                    m_ServerListRead = false; // the list was read once
-    std::map<std::string, DeclaredVersions> m_TargetVersions;         // by model; the newest few
+    bool                                    m_ServerListRead = false; // the list of servers has been read at least once
+    std::map<std::string, DeclaredVersions> m_TargetVersions;         // by model; only the newest versions of each
 };
 
-// A version was named. A sure time replaces an assumed one, and an earlier sure time a later one: who learned of it first is nearest to the
-// truth. An assumed time of a version older than the newest known is ignored. True: it is the newest, and news.
-bool RecordTargetVersion(RoutingState& world, const std::string& model, uint64_t version, DeclarationTime declared);
+// Records that `version` was declared as target version. An observed time replaces an assumed one, and an earlier observed time replaces a later one,
+// because the first observer is closest to the true time. An assumed time is ignored for a version older than the newest recorded one.
+// Returns whether the version is new and the newest.
+bool RecordTargetVersion(RoutingState& state, const std::string& model, uint64_t version, DeclarationTime declared);
 
-// The same for what a model server's agent tells: it may reach the store when this process doesn't, and was there when this one was not.
-void RecordReportedVersions(RoutingState& world, const std::string& model, std::span<const NamedAge> named, Duration deadline, TimePoint now);
+// Records the versions that a model server's agent reports. The agent may reach the store when this process can't, and may have observed declarations
+// made before this process started.
+void RecordReportedVersions(RoutingState& state, const std::string& model, std::span<const NamedAge> named, Duration deadline, TimePoint now);
 
-// A route or key that isn't declared, as far as this router knows, may have been declared since: a newer row was heard of, or nobody has
-// confirmed for kConfirmationMaxAge that what is held is the newest. False where nobody follows the declarations (m_HeldRow 0).
+// Returns whether a route or key that this router does not find in its declarations may have been declared since: a newer row was reported, or the
+// row that this router has was not confirmed as the newest for kConfirmationMaxAge. False if the process does not follow the declarations (m_HeldRow
+// is 0).
 bool DeclarationsMayBeStale(const DeclarationsFreshness& freshness, TimePoint now);
 
-// Calls fn(service, entry) for each server of each declared service, draining ones too.
-template <class FnT> void ForEachServer(const RoutingState& world, FnT fn)
+// Calls fn(service, entry) for each server of each declared service, including draining servers.
+template <class FnT> void ForEachServer(const RoutingState& state, FnT fn)
 {
-    if (!world.m_Routes)
+    if (!state.m_Routes)
         return;
-    for (const Service& s : world.m_Routes->Spec().m_Services)
-        for (const ServerEntry* e : world.m_Servers.All(s.m_Name))
+    for (const Service& s : state.m_Routes->Spec().m_Services)
+        for (const ServerEntry* e : state.m_Servers.All(s.m_Name))
             fn(s, *e);
 }
 
--- a/src/request/server_limits.cpp
+++ b/src/request/server_limits.cpp
@@ -44,7 +44,7 @@
     const bool     known = it != m_Limits.end();
     if (!requests_per_s)
     {
-        if (!known || sent_at <= it->second.m_LastNamedAt) // the server may have sent this answer before it named the limit
+        if (!known || sent_at <= it->second.m_LastNamedAt) // the server may have sent this answer before it set the limit
             return false;
         m_Limits.erase(it);
         std::erase_if(m_Changes, [&](const LimitChange& c) { return c.m_IncarnationHash == hash; });
@@ -94,7 +94,7 @@
         UpdateLocalRate(incarnation, limit, now);
 }
 
-// The bucket starts empty, because requests already in flight to the server use up the initial burst.
+// The bucket starts empty because requests already in flight to the server use up the initial burst.
 ServerLimits::Limit& ServerLimits::Add(uint64_t incarnation, TimePoint now)
 {
     if (m_Limits.size() >= kLimitsMax)
--- a/src/request/server_limits.h
+++ b/src/request/server_limits.h
@@ -1,6 +1,6 @@
 // aldervale: divides the rate limits of backend servers among the routers
 //
-// Performs no I/O and reads no clock. An overloaded server names in its answers the requests per second that it accepts from all routers together.
+// Performs no I/O and reads no clock. An overloaded server states in its answers how many requests per second it accepts from all routers together.
 // Each router sees only its own requests, so it enforces a share of the limit.
 //
 // Division:
@@ -9,15 +9,17 @@
 //     are allowed; the margin covers routers whose views of the router set differ temporarily.
 //   - If there are no more routers than that, all of them send. Otherwise the senders are selected for each server by rendezvous hashing among the
 //     routers that are known in all regions.
-//   - Other routers learn of the end of the limit from the senders. They also probe the server with a single request after a long interval.
+//   - The senders notify the other routers when a limit ends. A router that is not a sender also probes the server with a single request after a long
+//     interval.
 //
-// A limit applies to one lifetime of a server, until an answer to a later request does not name it.
+// A limit applies to one incarnation of a server (one run of its process). It ends when a request that was sent after the limit was last stated gets
+// an answer without a limit.
 //
 // Usage:
 //   ServerLimits l(seed);
 //   l.SetRouters(routers, now);
 //   if (l.Allows(incarnation, now)) { l.OnSent(incarnation, now); ... }
-//   l.OnAnswer(incarnation, limit, sent_at, now);                       // for the head of each answer
+//   l.OnAnswer(incarnation, limit, sent_at, now);                // for the head of each answer
 //   for (const LimitChange& c : l.TakeChanges()) ...             // send to other routers
 //   l.OnRemoteChange(change, now);                               // received from another router
 
@@ -32,17 +34,17 @@
 namespace aldervale
 {
 
-constexpr double   kSendersPerLimit        = 2;           // additional senders for each request per second
-constexpr unsigned kLimitRoutersAssumed    = 8;           // until the number of routers is known
-constexpr auto     kProbeIntervalMin       = seconds(10); // from the last answer with a limit or the last probe of this router
+constexpr double   kSendersPerLimit        = 2;           // additional senders for each request per second of the limit
+constexpr unsigned kLimitRoutersAssumed    = 8;           // used until the number of routers is known
+constexpr auto     kProbeIntervalMin       = seconds(10); // since the last answer with a limit or the last probe of this router
 constexpr auto     kProbeIntervalPerRouter = seconds(4);  // the mean interval is proportional to the number of routers
-constexpr auto     kAnswerPrecedence       = seconds(1);  // for this long after an answer that names a limit, changes from other routers are ignored
+constexpr auto     kAnswerPrecedence       = seconds(1);  // time after an answer with a limit in which changes from other routers are ignored
 
-struct LimitRouters // that share the limits
+struct LimitRouters // the routers that share the limits
 {
-    std::vector<std::string> m_KnownToAll; // addresses; the same at all routers; may lack m_Self
+    std::vector<std::string> m_KnownToAll; // addresses of routers known in all regions; the same list at all routers; m_Self may be missing
     std::string              m_Self;       // address of this router
-    uint32_t                 m_Total = 0;  // 0: unknown
+    uint32_t                 m_Total = 0;  // number of all routers; 0: unknown
 
     bool operator==(const LimitRouters&) const = default;
 };
@@ -50,7 +52,7 @@
 struct LimitChange
 {
     uint64_t              m_IncarnationHash = 0; // LifeHash() of the server
-    std::optional<double> m_RequestsPerS;        // none: the limit ended
+    std::optional<double> m_RequestsPerS;        // new limit; none: the limit ended
 };
 
 class ServerLimits // used on one thread
@@ -60,24 +62,23 @@
 
     bool Allows(const ServerLife& incarnation, TimePoint now);
     void OnSent(const ServerLife& incarnation, TimePoint now);
-    bool OnAnswer(const ServerLife& incarnation, std::optional<double> requests_per_s, TimePoint sent_at,
-                  TimePoint now);                                  // returns whether it changed
+    bool OnAnswer(const ServerLife& incarnation, std::optional<double> requests_per_s, TimePoint sent_at, TimePoint now); // whether it changed
     bool OnRemoteChange(const LimitChange& change, TimePoint now); // returns whether the limit changed
     void RemoveUnlisted(std::span<const uint64_t> listed);         // removes limits whose LifeHash() is not in `listed`
     void SetRouters(const LimitRouters& routers, TimePoint now);
 
     bool                     Empty() const { return m_Limits.empty(); }
     size_t                   Count() const { return m_Limits.size(); }
-    std::vector<LimitChange> TakeChanges() { return std::exchange(m_Changes, {}); } // detected locally and due to be sent to the other routers
+    std::vector<LimitChange> TakeChanges() { return std::exchange(m_Changes, {}); } // changes detected locally, to be sent to the other routers
 
 private:
     struct Limit
     {
-        double      m_RequestsPerS = 0; // of all routers together
-        TimePoint   m_LastNamedAt{};    // last answer that named the limit
-        TimePoint   m_ProbeAt{};        // a request is allowed from then on, regardless of the rate
+        double      m_RequestsPerS = 0; // limit for all routers together
+        TimePoint   m_LastNamedAt{};    // time of the last answer with a limit
+        TimePoint   m_ProbeAt{};        // from this time on one request is allowed regardless of the rate
         double      m_LocalRate = 0;    // share of this router, requests per second; 0: not a sender
-        TokenBucket m_Bucket;           // at m_LocalRate; unused if that is 0
+        TokenBucket m_Bucket;           // filled at m_LocalRate; unused if that is 0
     };
 
     Limit&   Add(uint64_t incarnation, TimePoint now);
--- a/src/request/usage.cpp
+++ b/src/request/usage.cpp
@@ -1,4 +1,4 @@
-// Accounting and burn. See usage.h.
+// Usage accounting and burn rates. See usage.h.
 #include "request/usage.h"
 #include "common/hash.h"
 
--- a/src/request/usage.h
+++ b/src/request/usage.h
@@ -1,14 +1,14 @@
-// aldervale: accounting per client account and burn of service levels
+// aldervale: usage accounting per client account, and burn rates of the service levels
 //
-// Usage is counted per router incarnation as running totals; flushing writes the totals target that incarnation's own row, so a flush that
-// is repeated or whose answer got lost counts nothing twice. Burn keeps good and bad requests per service and account in rings of
-// one-minute buckets and tells, for several windows, how fast the allowed_bad_share share of bad requests is used up (1 = exactly allowed_bad_share).
-// Thread-safe; state in shards, each under its own lock.
+// Usage is counted as running totals for each run of a router process. A flush writes the totals into the row of that run, so a flush that is
+// repeated or whose response was lost counts nothing twice. For the burn rates, good and bad requests are counted per service and account in ring
+// buffers with one entry per minute. The burn rate over a window is the share of bad requests divided by the allowed share (1 = the error budget is
+// used up exactly). Thread-safe: the state is divided into shards, each with its own mutex.
 //
 // Usage:
 //   usage.Record({"chat", "desk", Verdict_Ran, true, 120, 900, 64}, now);
 //   json::object totals = usage.Totals();
-//   json::array  rows   = usage.BurnRows(now);        // counts, to be merged over routers with MergeBurn()
+//   json::array  rows   = usage.BurnRows(now);        // counts; merge those of several routers with MergeBurn()
 
 #pragma once
 #include "common/clock.h"
@@ -29,13 +29,13 @@
     std::string m_Service;                    //
     std::string m_Account;                    //
     Verdict     m_Verdict   = Verdict_NotRun; //
-    bool        m_Good      = false;          // answered whole and within the service's level
+    bool        m_Good      = false;          // answered completely and within the service level objective
     uint64_t    m_BytesIn   = 0;              //
     uint64_t    m_BytesOut  = 0;              //
-    uint64_t    m_TokensOut = 0;              // events of a stream
+    uint64_t    m_TokensOut = 0;              // number of events of the stream
 };
 
-constexpr std::array<unsigned, 4> kBurnWindowsMin = {5, 30, 60, 360}; // minutes
+constexpr std::array<unsigned, 4> kBurnWindowsMin = {5, 30, 60, 360}; // lengths of the windows in minutes
 
 class Usage
 {
@@ -53,7 +53,7 @@
 
     struct Minute
     {
-        int64_t  m_Minute = -1; // number on the monotonic clock; -1: unused
+        int64_t  m_Minute = -1; // minutes since the epoch of the monotonic clock; -1: unused
         uint64_t m_Good   = 0;  //
         uint64_t m_Bad    = 0;  //
     };
@@ -63,7 +63,7 @@
     struct Shard
     {
         mutable std::mutex                                  m_Mutex;  // guards the members below
-        std::map<std::string, AccountTotals>                m_Totals; // by account; never fall
+        std::map<std::string, AccountTotals>                m_Totals; // by account; the values never fall
         std::map<std::pair<std::string, std::string>, Ring> m_Rings;  // by service and account
     };
 
@@ -74,9 +74,9 @@
     std::array<Shard, kShards> m_Shards;
 };
 
-// Adds the counts of `rows` to `target`, matching service, account and window.
+// Adds the counts of `rows` to the entries of `target` with the same service, account and window.
 void MergeBurn(json::array& target, const json::array& rows);
-// Adds "burn" to each window: bad share over allowed_bad_share share; `allowed_bad_share` by service, from the declared targets.
+// Adds the burn rate as "burn" to each window. `allowed_bad_share` holds the allowed share of bad requests by service, from the declared objectives.
 void AddBurnRates(json::array& rows, const std::map<std::string, double>& allowed_bad_share);
 
 } // namespace aldervale
--- a/tests/test_crash_detector.cpp
+++ b/tests/test_crash_detector.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-// Guards against blaming requests for connections reset by an order or a network fault.
+// Guards against attributing a crash to requests whose connection was reset by an order to load weights or a network fault.
 BOOST_AUTO_TEST_CASE(a_server_that_still_listens_has_not_crashed)
 {
     asio::io_context ioc;
--- a/tests/test_crash_history.cpp
+++ b/tests/test_crash_history.cpp
@@ -1,4 +1,4 @@
-// Blocking of requests that crash servers, and convergence of the records of several routers.
+// Blocking of requests that crash servers, and convergence of the records of different routers.
 #include "request/crash_history.h"
 #include "support.h"
 #include <set>
@@ -10,7 +10,7 @@
 
 const TimePoint kStart = TimePoint{} + seconds(100'000);
 
-// Merges the changed records of `from` into `to`. Times shift by `transit`, as when they are sent as ages.
+// Merges the changed records of `from` into `to`. Times shift by `transit`, as they do when they are sent as ages.
 void SendChanges(CrashHistory& from, CrashHistory& to, TimePoint now, Duration transit = milliseconds(3))
 {
     for (CrashRecord r : from.TakeChanged())
--- a/tests/test_journal.cpp
+++ b/tests/test_journal.cpp
@@ -1,4 +1,4 @@
-// Journal of keyed calls: at most once under repeats, restarts, forgetting and changes of home.
+// Journal of keyed calls: a call runs at most once despite repeats, restarts, evictions and changes of home.
 #include "request/homes.h"
 #include "request/key_journal.h"
 #include "support.h"
@@ -25,13 +25,13 @@
 
 BOOST_AUTO_TEST_CASE(uuid7_round_trip)
 {
-    ALDERVALE_PROPERTY("the minting time of a made key is read back",
+    ALDERVALE_PROPERTY("MintedAtMs() returns the time passed to MakeUuid7()",
                        [](uint64_t a, uint64_t b)
                        {
                            const int64_t ms = *rc::gen::inRange<int64_t>(0, int64_t{1} << 47);
                            RC_ASSERT(MintedAtMs(MakeUuid7(ms, a, b)) == std::optional<int64_t>(ms));
                        });
-    std::set<std::string> distinct; // the version and variant bits once overwrote the low bits of both numbers
+    std::set<std::string> distinct; // guards against the version and variant bits overwriting low bits of both random numbers
     for (uint64_t n = 0; n < 1000; n++)
         distinct.insert(MakeUuid7(kStart, 0, n));
     for (uint64_t n = 1; n < 1000; n++)
@@ -54,10 +54,10 @@
     BOOST_REQUIRE(again.m_Type == JournalType_Replay);
     BOOST_CHECK_EQUAL(again.m_Result->m_Body, "answer");
     BOOST_CHECK(j.Begin("s/a", key, 8, now, true).m_Type == JournalType_Mismatch);
-    BOOST_CHECK(j.Begin("s/b", key, 8, now, true).m_Type == JournalType_Run); // another account's key is another key
+    BOOST_CHECK(j.Begin("s/b", key, 8, now, true).m_Type == JournalType_Run); // the same key of another account is a different key
 }
 
-BOOST_AUTO_TEST_CASE(restarted_journal_refuses_what_it_can_not_know)
+BOOST_AUTO_TEST_CASE(restarted_journal_refuses_keys_minted_before_its_horizon)
 {
     const std::string key = Key(kStart + 5000, 1);
     KeyJournal        restarted({}, kStart + 6000);
@@ -71,7 +71,7 @@
     BOOST_CHECK(j.Begin("s", Key(kStart + 60'000, 1), 7, kStart + 5000, true).m_Type == JournalType_FromFuture);
 }
 
-BOOST_AUTO_TEST_CASE(probe_looks_up_without_running)
+BOOST_AUTO_TEST_CASE(lookup_without_accept_does_not_run_new_keys)
 {
     KeyJournal        j({}, kStart);
     const std::string key = Key(kStart + 5000, 1);
@@ -80,7 +80,7 @@
     BOOST_CHECK(j.Begin("s", key, 7, kStart + 5000, false).m_Type == JournalType_Running);
 }
 
-BOOST_AUTO_TEST_CASE(forgotten_key_is_too_old_and_never_runs_again)
+BOOST_AUTO_TEST_CASE(evicted_key_is_too_old_and_never_runs_again)
 {
     JournalConfig cfg;
     cfg.m_MaxEntries = 16;
@@ -103,7 +103,7 @@
 
 BOOST_AUTO_TEST_CASE(any_interleaving_runs_a_key_at_most_once_and_every_not_run_is_true)
 {
-    ALDERVALE_PROPERTY("repeats, restarts, lost answers, evictions",
+    ALDERVALE_PROPERTY("a key runs at most once despite repeats, restarts, lost answers and evictions",
                        []
                        {
                            JournalConfig cfg;
@@ -112,7 +112,7 @@
                            auto                        home = std::make_unique<KeyJournal>(cfg, kStart);
                            std::map<std::string, int>  runs;
                            std::set<std::string>       reported_not_run;
-                           std::map<std::string, bool> running; // handed over, not yet finished
+                           std::map<std::string, bool> running; // forwarded, not yet finished
                            std::vector<std::string>    keys;
                            const auto                  steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8));
                            uint64_t                    n     = 0;
@@ -120,13 +120,12 @@
                            {
                                now += *rc::gen::inRange<int64_t>(0, 1500);
                                if (step <= 1 || keys.empty())
-                                   keys.push_back(Key(now + *rc::gen::inRange<int64_t>(-1500, 1500), ++n)); // clocks differ
+                                   keys.push_back(Key(now + *rc::gen::inRange<int64_t>(-1500, 1500), ++n)); // the clocks of caller and home differ
                                const std::string key =
                                    step <= 1 ? keys.back() : keys[static_cast<size_t>(*rc::gen::inRange<int>(0, static_cast<int>(keys.size())))];
                                if (step == 7)
                                {
-                                   home =
-                                       std::make_unique<KeyJournal>(cfg, now); // the agent restarts; calls that ran may still finish at the service
+                                   home = std::make_unique<KeyJournal>(cfg, now); // the agent restarts; running calls may still finish at the server
                                    running.clear();
                                    continue;
                                }
--- a/tests/test_limits.cpp
+++ b/tests/test_limits.cpp
@@ -1,4 +1,4 @@
-// Limits shared between routers, fair queueing, retry budget.
+// Account limits shared between routers, fair queueing, retry budget.
 #include "request/fair_queue.h"
 #include "request/limits.h"
 #include "request/retry.h"
@@ -17,7 +17,7 @@
     return s;
 }
 
-// Routers that tell each other their demand every window, with a delay of one window.
+// Routers that exchange their demand once per measurement interval, so that the rates of the others are up to one interval old.
 struct FakeRouters
 {
     explicit FakeRouters(size_t n)
@@ -26,7 +26,7 @@
             m_Limits.push_back(std::make_unique<AccountLimits>(LimitsConfig{}));
     }
 
-    // Offers `rates[i]` requests a second at router i for `seconds_long`; returns what was admitted in the last half.
+    // Offers `rates[i]` requests per second to router i for `seconds_long`. Returns the admitted requests per second in the second half of that time.
     double Run(const std::vector<double>& rates, double seconds_long)
     {
         constexpr double    kStep    = 0.01;
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_CASE(summed_admissions_stay_within_the_limit)
 {
-    ALDERVALE_PROPERTY("whatever the split of demand over routers, no more than 5% over, and no less than 90% of what is asked and allowed",
+    ALDERVALE_PROPERTY("for any split of the demand, admissions exceed the limit by at most 5% and reach at least 90% of demand or limit",
                        []
                        {
                            FakeRouters         routers(*rc::gen::inRange<size_t>(1, 8));
@@ -84,7 +84,7 @@
 {
     FakeRouters routers(4);
     routers.Run({100, 100, 100, 100}, 10);
-    // Router 0 hears nobody any more; its share stays near a quarter.
+    // Router 0 receives no more reports, and its own demand rises to 400. It must not take the whole limit.
     double admitted = 0;
     for (int t = 0; t < 1000; t++)
     {
@@ -94,10 +94,10 @@
         if (t % 25 == 0)
             routers.m_Limits[0]->Tick(routers.m_Now);
     }
-    BOOST_CHECK_LT(admitted / 10, 65); // its own demand of 400 against the remembered 300 of the others
+    BOOST_CHECK_LT(admitted / 10, 65); // its own demand of 400 against the last reported 300 of the other routers
 }
 
-BOOST_AUTO_TEST_CASE(refusal_tells_when_to_come_back)
+BOOST_AUTO_TEST_CASE(refusal_states_when_to_retry)
 {
     AccountLimits           l({});
     TimePoint               now  = TimePoint() + seconds(1);
@@ -111,7 +111,7 @@
 
 BOOST_AUTO_TEST_CASE(accounts_share_by_weight_whatever_one_offers)
 {
-    ALDERVALE_PROPERTY("an account that waits without end takes no more than its weight's part while others wait",
+    ALDERVALE_PROPERTY("an account with a long queue gets at most the share of its weight while other accounts wait",
                        []
                        {
                            FairQueue                       q({});
@@ -156,12 +156,12 @@
         early += offline.contains(*q.Pop(1)) ? 1 : 0;
         q.OnEnd();
     }
-    BOOST_CHECK_EQUAL(early, 5); // every tenth place
+    BOOST_CHECK_EQUAL(early, 5); // every tenth start
 }
 
 BOOST_AUTO_TEST_CASE(queue_counts_exactly)
 {
-    ALDERVALE_PROPERTY("running never passes the capacity; what was removed never starts",
+    ALDERVALE_PROPERTY("the running count never exceeds the capacity; removed requests never start",
                        []
                        {
                            FairQueue          q({50, 20, 10});
@@ -216,17 +216,16 @@
     int granted = 0;
     for (int i = 0; i < 100; i++)
         granted += budget.TryTake() ? 1 : 0;
-    BOOST_CHECK_LE(granted, 20); // the budget ends
+    BOOST_CHECK_LE(granted, 20); // the budget is exhausted
 }
 
-// Streams that had begun were broken off 20 ms before the route's or the caller's time was over, with events on their way: twelve in half a minute in
-// which a route's time was shortened, and nothing else happened.
+// Guards against breaking off streams 20 ms before the deadline of the route or the caller while events still arrive. The 20 ms leave time for an
+// error response, which is impossible once the answer has begun. Shortening the timeout of a route broke twelve streams within half a minute:
 //   AnswerBroken  cause deadline, left_ms 19, quiet_ms 34, events 47
-// The 20 ms are there to tell a caller that its time is over; one whose answer has begun can't be told.
-BOOST_AUTO_TEST_CASE(an_answer_that_has_begun_is_not_ended_before_its_time)
+BOOST_AUTO_TEST_CASE(an_answer_that_has_begun_is_not_ended_before_its_deadline)
 {
     const TimePoint deadline = TimePoint{} + seconds(100);
     BOOST_TEST((AttemptDeadline(deadline, false) < deadline));
     BOOST_TEST((AttemptDeadline(deadline, true) > deadline));
-    BOOST_TEST((AttemptDeadline(deadline, true) < deadline + milliseconds(250))); // what a route's time may be passed by
+    BOOST_TEST((AttemptDeadline(deadline, true) < deadline + milliseconds(250))); // tolerated overrun of the timeout of a route
 }
--- a/tests/test_server_limit_shares.cpp
+++ b/tests/test_server_limit_shares.cpp
@@ -1,4 +1,4 @@
-// Division of the rate limit of a server among routers.
+// Division of the rate limit of a backend server among routers.
 #include "request/server_limits.h"
 #include "support.h"
 #include <deque>
@@ -11,7 +11,7 @@
 const TimePoint  kStart  = TimePoint{} + seconds(100'000);
 const ServerLife kServer = {"i-1", 17};
 
-constexpr auto kUncountedInterval = milliseconds(500); // from the first answer with a limit to a router until its requests are counted
+constexpr auto kUncountedInterval = milliseconds(500); // after the first answer with a limit to a router, in which its requests are not counted
 constexpr auto kWindow            = seconds(4);
 
 std::vector<std::string> Addresses(size_t count)
@@ -35,8 +35,8 @@
         }
     }
 
-    // Each router tries to send every `interval`, the routers starting 100 ms apart. The server answers immediately and names `requests_per_s`.
-    // Returns the maximum number of counted requests in a window.
+    // Each router tries to send every `interval`; the routers start 100 ms apart. The server answers immediately with the limit `requests_per_s`.
+    // Returns the maximum number of counted requests in any window of kWindow.
     size_t MaxInWindow(double requests_per_s, Duration interval, Duration duration)
     {
         size_t                 max = 0;
@@ -63,7 +63,7 @@
     }
 
     std::vector<ServerLimits> m_Routers;
-    size_t                    m_Received = 0; // requests at the server
+    size_t                    m_Received = 0; // requests received by the server
 };
 
 double AllowedInWindow(double requests_per_s)
@@ -73,7 +73,7 @@
 
 } // namespace
 
-// Guards against each router applying the whole limit, so that together they exceed it many times.
+// Guards against each router applying the whole limit, so that the routers together exceed it many times.
 BOOST_AUTO_TEST_CASE(routers_together_stay_within_the_limit_of_a_server)
 {
     for (const size_t routers : {1, 2, 7, 9, 30, 150})
@@ -93,13 +93,13 @@
     ServerLimits l(1);
     l.OnAnswer(kServer, 0.0, kStart, kStart);
     BOOST_TEST(!l.Allows(kServer, kStart + seconds(1)));
-    l.OnAnswer(kServer, std::nullopt, kStart - milliseconds(1), kStart + seconds(1)); // the request was sent before the limit was named
+    l.OnAnswer(kServer, std::nullopt, kStart - milliseconds(1), kStart + seconds(1)); // the request was sent before the server stated the limit
     BOOST_TEST(!l.Allows(kServer, kStart + seconds(1)));
     l.OnAnswer(kServer, std::nullopt, kStart + milliseconds(1), kStart + seconds(1));
     BOOST_TEST(l.Allows(kServer, kStart + seconds(1)));
 }
 
-BOOST_AUTO_TEST_CASE(a_limit_does_not_apply_to_a_new_lifetime_of_the_server)
+BOOST_AUTO_TEST_CASE(a_limit_does_not_apply_to_a_new_incarnation_of_the_server)
 {
     ServerLimits l(1);
     l.OnAnswer(kServer, 0.0, kStart, kStart);
--- a/tests/test_usage.cpp
+++ b/tests/test_usage.cpp
@@ -1,4 +1,4 @@
-// Accounting, burn and its report, histograms.
+// Usage accounting, burn rates and their report, histograms, gauges.
 #include "common/metrics.h"
 #include "process/burn_report.h"
 #include "request/usage.h"
@@ -9,7 +9,7 @@
 BOOST_AUTO_TEST_CASE(totals_add_up)
 {
     ALDERVALE_PROPERTY(
-        "verdicts of an account sum to its requests",
+        "the verdict counts of an account add up to its requests",
         []
         {
             Usage     u;
@@ -38,14 +38,14 @@
     for (int i = 0; i < 90; i++)
         a.Record({"s", "x", Verdict_Ran, true, 0, 0, 0}, now);
     for (int i = 0; i < 10; i++)
-        b.Record({"s", "x", Verdict_NotRun, false, 0, 0, 0}, now - std::chrono::minutes(20)); // outside the shortest window
+        b.Record({"s", "x", Verdict_NotRun, false, 0, 0, 0}, now - std::chrono::minutes(20)); // outside the shortest window only
     json::array rows = a.BurnRows(now);
     MergeBurn(rows, b.BurnRows(now));
     AddBurnRates(rows, {{"s", 0.05}});
     BOOST_REQUIRE_EQUAL(rows.size(), 1u);
     const json::array& windows = rows[0].at("windows").as_array();
     BOOST_CHECK_EQUAL(windows[0].at("burn").to_number<double>(), 0.0);
-    BOOST_CHECK_CLOSE(windows[1].at("burn").to_number<double>(), 2.0, 1e-6); // 10% bad where 5% is allowed
+    BOOST_CHECK_CLOSE(windows[1].at("burn").to_number<double>(), 2.0, 1e-6); // 10% of the requests are bad, 5% are allowed
     const json::value burn = json::object{{"routers", 2}, {"rows", rows}};
     BOOST_CHECK(BurnText(burn).find("2.00") != std::string::npos);
     BOOST_CHECK(BurnHtml(burn, "<now>").find("&lt;now&gt;") != std::string::npos);
@@ -58,11 +58,11 @@
         h.Record(i * 1e-3);
     BOOST_CHECK_EQUAL(h.Count(), 1000u);
     BOOST_CHECK_GE(h.Quantile(0.5), 0.5);
-    BOOST_CHECK_LE(h.Quantile(0.5), 0.5 * 1.16); // 16 bins a decade
+    BOOST_CHECK_LE(h.Quantile(0.5), 0.5 * 1.16); // 16 bins per decade
     BOOST_CHECK(h.Prometheus("x", "").find("x_count 1000") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_gauge_tells_versions_whole_and_ages_as_fractions)
+BOOST_AUTO_TEST_CASE(a_gauge_prints_large_integers_exactly_and_keeps_fractions)
 {
     MetricsRegistry registry;
     registry.GetGauge("row").Set(123'456'789'012.0);
