--- a/src/request/agent_serve.cpp
+++ b/src/request/agent_serve.cpp
@@ -267,17 +267,17 @@
     return Hash64(std::string_view(reinterpret_cast<const char*>(c.body.data()), c.body.size()), head);
 }
 
-static Error JournalError(JournalType t)
+static Error JournalError(JournalDecision t)
 {
     switch (t)
     {
-    case JournalType_TooOld:
+    case JournalDecision_TooOld:
         return MakeError(ErrorCode_Stale, "key is older than this home's memory", "Idempotency-Key", Verdict_MayHaveRun);
-    case JournalType_FromFuture:
+    case JournalDecision_FromFuture:
         return MakeError(ErrorCode_Invalid, "key was minted in the future", "Idempotency-Key");
-    case JournalType_Mismatch:
+    case JournalDecision_Mismatch:
         return MakeError(ErrorCode_Invalid, "key was used for another call", "Idempotency-Key");
-    case JournalType_Refused:
+    case JournalDecision_Refused:
         return MakeError(ErrorCode_Unavailable, "home takes no new keys now");
     default:
         return MakeError(ErrorCode_Invalid, "expected a UUIDv7", "Idempotency-Key");
@@ -297,25 +297,25 @@
     const bool        full   = m_InFlight.load() > static_cast<uint64_t>(m_Settings.m_MaxInFlight);
     const bool        accept = !retired && !m_Draining.load() && !m_Drained.load() && !full && !call->m_Call.probe;
     JournalAnswer     a      = m_Journal.Begin(scope, call->m_Call.key, Fingerprint(call->m_Call), WallMs(), accept);
-    while (a.m_Type == JournalType_Running && Now() < call->m_Deadline && !call->m_Cancelled.load())
+    while (a.m_Type == JournalDecision_Running && Now() < call->m_Deadline && !call->m_Cancelled.load())
     {
         co_await SleepFor(kRunningPoll);
         a = m_Journal.Begin(scope, call->m_Call.key, Fingerprint(call->m_Call), WallMs(), accept);
     }
-    if (a.m_Type == JournalType_Replay)
+    if (a.m_Type == JournalDecision_Replay)
     {
         LogEvent(Event_KeyReplayed, {{"service", call->m_Call.service}, {"key", call->m_Call.key}});
         SendStored(*call, *a.m_Result, true);
         co_return;
     }
-    if (a.m_Type == JournalType_Running)
+    if (a.m_Type == JournalDecision_Running)
     {
         Refuse(*call, MakeError(ErrorCode_Timeout, "the first call with this key is still running", {}, Verdict_MayHaveRun));
         co_return;
     }
-    if (a.m_Type != JournalType_Run)
+    if (a.m_Type != JournalDecision_Run)
     {
-        if (a.m_Type == JournalType_TooOld)
+        if (a.m_Type == JournalDecision_TooOld)
             LogEvent(Event_KeyBeforeHorizon, {{"service", call->m_Call.service}, {"key", call->m_Call.key}});
         Refuse(*call, JournalError(a.m_Type));
         co_return;
--- a/src/request/key_journal.cpp
+++ b/src/request/key_journal.cpp
@@ -75,7 +75,7 @@
 {
     const std::optional<int64_t> minted = MintedAtMs(key);
     if (!minted)
-        return {JournalType_BadKey, nullptr};
+        return {JournalDecision_BadKey, nullptr};
     const std::string id    = EntryId(scope, key);
     Shard&            shard = ShardOf(id);
     std::lock_guard   lock(shard.m_Mutex);
@@ -83,20 +83,20 @@
     if (it != shard.m_Entries.end())
     {
         if (it->second.m_Fingerprint != fingerprint)
-            return {JournalType_Mismatch, nullptr};
+            return {JournalDecision_Mismatch, nullptr};
         if (!it->second.m_Result)
-            return {JournalType_Running, nullptr};
-        return {JournalType_Replay, it->second.m_Result};
+            return {JournalDecision_Running, nullptr};
+        return {JournalDecision_Replay, it->second.m_Result};
     }
     if (*minted > wall_ms + m_Config.m_SkewMs)
-        return {JournalType_FromFuture, nullptr};
+        return {JournalDecision_FromFuture, nullptr};
     if (*minted <= m_HorizonMs.load())
-        return {JournalType_TooOld, nullptr};
+        return {JournalDecision_TooOld, nullptr};
     if (!accept)
-        return {JournalType_Refused, nullptr};
+        return {JournalDecision_Refused, nullptr};
     shard.m_Entries[id] = {fingerprint, *minted, nullptr};
     m_Entries.fetch_add(1);
-    return {JournalType_Run, nullptr};
+    return {JournalDecision_Run, nullptr};
 }
 
 void KeyJournal::Finish(std::string_view scope, std::string_view key, StoredResult result)
--- a/src/request/key_journal.h
+++ b/src/request/key_journal.h
@@ -10,7 +10,7 @@
 //
 // Usage:
 //   JournalAnswer a = journal.Begin(scope, key, fingerprint, wall_ms, true);
-//   if (a.m_Type == JournalType_Run) { ...forward...; journal.Finish(scope, key, std::move(result)); }
+//   if (a.m_Type == JournalDecision_Run) { ...forward...; journal.Finish(scope, key, std::move(result)); }
 //
 // Index of this file:
 // [SECTION] Keys
@@ -59,22 +59,22 @@
 };
 using StoredResultPtr = std::shared_ptr<const StoredResult>;
 
-enum JournalType
+enum JournalDecision
 {
-    JournalType_Run,        // recorded: forward the call, then call Finish() or Forget()
-    JournalType_Running,    // a call with the same key is running: retry later
-    JournalType_Replay,     // the call has ended: m_Result holds its result
-    JournalType_TooOld,     // minted before the horizon: the call may have run
-    JournalType_FromFuture, // minted too far ahead: not run
-    JournalType_Mismatch,   // the key was used for a different call: not run
-    JournalType_BadKey,     // not a UUIDv7: not run
-    JournalType_Refused,    // the key is new and valid, but Begin() was called with accept = false: not run
+    JournalDecision_Run,        // recorded: forward the call, then call Finish() or Forget()
+    JournalDecision_Running,    // a call with the same key is running: retry later
+    JournalDecision_Replay,     // the call has ended: m_Result holds its result
+    JournalDecision_TooOld,     // minted before the horizon: the call may have run
+    JournalDecision_FromFuture, // minted too far ahead: not run
+    JournalDecision_Mismatch,   // the key was used for a different call: not run
+    JournalDecision_BadKey,     // not a UUIDv7: not run
+    JournalDecision_Refused,    // the key is new and valid, but Begin() was called with accept = false: not run
 };
 
 struct JournalAnswer
 {
-    JournalType     m_Type = JournalType_BadKey; //
-    StoredResultPtr m_Result;                    // set only for JournalType_Replay
+    JournalDecision m_Type = JournalDecision_BadKey; //
+    StoredResultPtr m_Result;                        // set only for JournalDecision_Replay
 };
 
 struct JournalConfig
--- a/src/request/routing_world.cpp
+++ b/src/request/routing_world.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr uint64_t kFirstVersion            = 1;                  // served from the start, without a declaration
-constexpr size_t   kVersionsRemembered      = 8;                  // number of versions of a model's weights whose deadlines are kept
+constexpr size_t   kVersionsKept            = 8;                  // number of versions of a model's weights whose deadlines are kept
 constexpr auto     kUnknownDeclarationGrace = milliseconds(2500); // time for which older weights may be used if the declaration time is unknown
 
 bool IsBetterEstimate(const DeclarationTime& a, const DeclarationTime& than)
@@ -20,7 +20,7 @@
 // Returns false if there is no room because all recorded versions are newer.
 bool EvictOldestFor(DeclaredVersions& versions, uint64_t version)
 {
-    if (versions.size() < kVersionsRemembered)
+    if (versions.size() < kVersionsKept)
         return true;
     if (version < versions.begin()->first)
         return false;
@@ -54,9 +54,9 @@
     return version > newest;
 }
 
-void RecordReportedVersions(RoutingState& state, const std::string& model, std::span<const NamedAge> named, Duration deadline, TimePoint now)
+void RecordReportedVersions(RoutingState& state, const std::string& model, std::span<const NamedAge> reported, Duration deadline, TimePoint now)
 {
-    for (const NamedAge& n : named)
+    for (const NamedAge& n : reported)
     {
         const DeclarationTime declared = n.m_AgeMs >= 0 ? DeclarationTime{now - milliseconds(n.m_AgeMs), true} : AssumeDeclarationTime(now, deadline);
         RecordTargetVersion(state, model, n.m_Version, declared);
--- a/src/request/routing_world.h
+++ b/src/request/routing_world.h
@@ -61,7 +61,7 @@
 
 // Records the versions that a model server's agent reports. The agent may reach the store when this process can't, and may have observed declarations
 // made before this process started.
-void RecordReportedVersions(RoutingState& state, const std::string& model, std::span<const NamedAge> named, Duration deadline, TimePoint now);
+void RecordReportedVersions(RoutingState& state, const std::string& model, std::span<const NamedAge> reported, Duration deadline, TimePoint now);
 
 // Returns whether a route or key that this router does not find in its declarations may have been declared since: a newer row was reported, or the
 // row that this router has was not confirmed as the newest for kConfirmationMaxAge. False if the process does not follow the declarations (m_HeldRow
--- a/src/request/server_limits.cpp
+++ b/src/request/server_limits.cpp
@@ -44,7 +44,7 @@
     const bool     known = it != m_Limits.end();
     if (!requests_per_s)
     {
-        if (!known || sent_at <= it->second.m_LastNamedAt) // the server may have sent this answer before it set the limit
+        if (!known || sent_at <= it->second.m_LastStatedAt) // the server may have sent this answer before it set the limit
             return false;
         m_Limits.erase(it);
         std::erase_if(m_Changes, [&](const LimitChange& c) { return c.m_IncarnationHash == hash; });
@@ -54,7 +54,7 @@
     Limit&     l       = known ? it->second : Add(hash, now);
     const bool changed = !known || static_cast<float>(l.m_RequestsPerS) != static_cast<float>(*requests_per_s);
     l.m_RequestsPerS   = *requests_per_s;
-    l.m_LastNamedAt    = now;
+    l.m_LastStatedAt   = now;
     l.m_ProbeAt        = now + ProbeInterval();
     if (!changed)
         return false;
@@ -68,7 +68,7 @@
 {
     const auto it    = m_Limits.find(change.m_IncarnationHash);
     const bool known = it != m_Limits.end();
-    if (known && now - it->second.m_LastNamedAt < kAnswerPrecedence)
+    if (known && now - it->second.m_LastStatedAt < kAnswerPrecedence)
         return false;
     if (!change.m_RequestsPerS)
         return m_Limits.erase(change.m_IncarnationHash) > 0;
@@ -108,7 +108,7 @@
 {
     const double max_senders = 1 + std::floor(kSendersPerLimit * requests_per_s);
     if (m_Routers.m_Total == 0)
-        return requests_per_s / kLimitRoutersAssumed;
+        return requests_per_s / kAssumedRouterCount;
     if (m_Routers.m_Total <= max_senders)
         return requests_per_s / m_Routers.m_Total;
     const size_t selected = std::min(static_cast<size_t>(max_senders), m_Routers.m_KnownToAll.size());
@@ -128,7 +128,7 @@
 // Uniformly random from 0.5 to 1.5 times the mean, so that routers that learned of a limit simultaneously do not probe simultaneously.
 Duration ServerLimits::ProbeInterval()
 {
-    const double routers = m_Routers.m_Total > 0 ? m_Routers.m_Total : kLimitRoutersAssumed;
+    const double routers = m_Routers.m_Total > 0 ? m_Routers.m_Total : kAssumedRouterCount;
     const double jitter  = 0.5 + static_cast<double>(m_Random() >> 11) * 0x1p-53;
     return std::max<Duration>(kProbeIntervalMin, FromSeconds(ToSeconds(kProbeIntervalPerRouter) * routers * jitter));
 }
--- a/src/request/server_limits.h
+++ b/src/request/server_limits.h
@@ -35,7 +35,7 @@
 {
 
 constexpr double   kSendersPerLimit        = 2;           // additional senders for each request per second of the limit
-constexpr unsigned kLimitRoutersAssumed    = 8;           // used until the number of routers is known
+constexpr unsigned kAssumedRouterCount     = 8;           // used until the number of routers is known
 constexpr auto     kProbeIntervalMin       = seconds(10); // since the last answer with a limit or the last probe of this router
 constexpr auto     kProbeIntervalPerRouter = seconds(4);  // the mean interval is proportional to the number of routers
 constexpr auto     kAnswerPrecedence       = seconds(1);  // time after an answer with a limit in which changes from other routers are ignored
@@ -75,7 +75,7 @@
     struct Limit
     {
         double      m_RequestsPerS = 0; // limit for all routers together
-        TimePoint   m_LastNamedAt{};    // time of the last answer with a limit
+        TimePoint   m_LastStatedAt{};   // time of the last answer with a limit
         TimePoint   m_ProbeAt{};        // from this time on one request is allowed regardless of the rate
         double      m_LocalRate = 0;    // share of this router, requests per second; 0: not a sender
         TokenBucket m_Bucket;           // filled at m_LocalRate; unused if that is 0
--- a/tests/test_journal.cpp
+++ b/tests/test_journal.cpp
@@ -47,37 +47,37 @@
     KeyJournal        j({}, kStart);
     const int64_t     now = kStart + 10'000;
     const std::string key = Key(now, 1);
-    BOOST_CHECK(j.Begin("s/a", key, 7, now, true).m_Type == JournalType_Run);
-    BOOST_CHECK(j.Begin("s/a", key, 7, now, true).m_Type == JournalType_Running);
+    BOOST_CHECK(j.Begin("s/a", key, 7, now, true).m_Type == JournalDecision_Run);
+    BOOST_CHECK(j.Begin("s/a", key, 7, now, true).m_Type == JournalDecision_Running);
     j.Finish("s/a", key, Ran("answer"));
     const JournalAnswer again = j.Begin("s/a", key, 7, now + 1000, true);
-    BOOST_REQUIRE(again.m_Type == JournalType_Replay);
+    BOOST_REQUIRE(again.m_Type == JournalDecision_Replay);
     BOOST_CHECK_EQUAL(again.m_Result->m_Body, "answer");
-    BOOST_CHECK(j.Begin("s/a", key, 8, now, true).m_Type == JournalType_Mismatch);
-    BOOST_CHECK(j.Begin("s/b", key, 8, now, true).m_Type == JournalType_Run); // the same key of another account is a different key
+    BOOST_CHECK(j.Begin("s/a", key, 8, now, true).m_Type == JournalDecision_Mismatch);
+    BOOST_CHECK(j.Begin("s/b", key, 8, now, true).m_Type == JournalDecision_Run); // the same key of another account is a different key
 }
 
 BOOST_AUTO_TEST_CASE(restarted_journal_refuses_keys_minted_before_its_horizon)
 {
     const std::string key = Key(kStart + 5000, 1);
     KeyJournal        restarted({}, kStart + 6000);
-    BOOST_CHECK(restarted.Begin("s", key, 7, kStart + 7000, true).m_Type == JournalType_TooOld);
-    BOOST_CHECK(restarted.Begin("s", Key(kStart + 9000, 2), 7, kStart + 9000, true).m_Type == JournalType_Run);
+    BOOST_CHECK(restarted.Begin("s", key, 7, kStart + 7000, true).m_Type == JournalDecision_TooOld);
+    BOOST_CHECK(restarted.Begin("s", Key(kStart + 9000, 2), 7, kStart + 9000, true).m_Type == JournalDecision_Run);
 }
 
 BOOST_AUTO_TEST_CASE(key_from_the_future_is_refused)
 {
     KeyJournal j({}, kStart);
-    BOOST_CHECK(j.Begin("s", Key(kStart + 60'000, 1), 7, kStart + 5000, true).m_Type == JournalType_FromFuture);
+    BOOST_CHECK(j.Begin("s", Key(kStart + 60'000, 1), 7, kStart + 5000, true).m_Type == JournalDecision_FromFuture);
 }
 
 BOOST_AUTO_TEST_CASE(lookup_without_accept_does_not_run_new_keys)
 {
     KeyJournal        j({}, kStart);
     const std::string key = Key(kStart + 5000, 1);
-    BOOST_CHECK(j.Begin("s", key, 7, kStart + 5000, false).m_Type == JournalType_Refused);
-    BOOST_CHECK(j.Begin("s", key, 7, kStart + 5000, true).m_Type == JournalType_Run);
-    BOOST_CHECK(j.Begin("s", key, 7, kStart + 5000, false).m_Type == JournalType_Running);
+    BOOST_CHECK(j.Begin("s", key, 7, kStart + 5000, false).m_Type == JournalDecision_Refused);
+    BOOST_CHECK(j.Begin("s", key, 7, kStart + 5000, true).m_Type == JournalDecision_Run);
+    BOOST_CHECK(j.Begin("s", key, 7, kStart + 5000, false).m_Type == JournalDecision_Running);
 }
 
 BOOST_AUTO_TEST_CASE(evicted_key_is_too_old_and_never_runs_again)
@@ -90,14 +90,14 @@
     {
         keys.push_back(Key(kStart + 3000 + static_cast<int64_t>(n), n));
         const auto a = j.Begin("s", keys.back(), 7, kStart + 4000, true);
-        BOOST_REQUIRE(a.m_Type == JournalType_Run || a.m_Type == JournalType_TooOld);
-        if (a.m_Type == JournalType_Run)
+        BOOST_REQUIRE(a.m_Type == JournalDecision_Run || a.m_Type == JournalDecision_TooOld);
+        if (a.m_Type == JournalDecision_Run)
             j.Finish("s", keys.back(), Ran("x"));
     }
     for (const std::string& key : keys)
     {
         const auto type = j.Begin("s", key, 7, kStart + 4000, true).m_Type;
-        BOOST_CHECK(type == JournalType_Replay || type == JournalType_TooOld);
+        BOOST_CHECK(type == JournalDecision_Replay || type == JournalDecision_TooOld);
     }
 }
 
@@ -136,12 +136,12 @@
                                    continue;
                                }
                                const JournalAnswer a = home->Begin("s", key, 7, now, step != 5);
-                               if (a.m_Type == JournalType_Run)
+                               if (a.m_Type == JournalDecision_Run)
                                {
                                    runs[key]++;
                                    running[key] = true;
                                }
-                               if (a.m_Type == JournalType_FromFuture || a.m_Type == JournalType_Refused)
+                               if (a.m_Type == JournalDecision_FromFuture || a.m_Type == JournalDecision_Refused)
                                    RC_ASSERT(runs[key] == 0); // reported "not run"
                            }
                            for (const auto& [key, count] : runs)
