--- a/src/request/direct_attempt.cpp
+++ b/src/request/direct_attempt.cpp
@@ -115,7 +115,7 @@
 
 TimePoint DirectServe::Impl::EndAt(const Call& call, const RequestAttempt& attempt) const
 {
-    const TimePoint end_at   = AttemptEnds(call.m_Deadline, call.m_HeadSent);
+    const TimePoint end_at   = AttemptEndTime(call.m_Deadline, call.m_HeadSent);
     const bool      may_wait = attempt.m_Pace.m_Begun || !call.IsStream() || !call.m_Route->MayRepeat();
     return may_wait ? end_at : std::min(end_at, BeginBy(call, attempt));
 }
@@ -187,7 +187,7 @@
     if (!sent)
     {
         if (sent.error().m_Verdict == Verdict_NotRun)
-            Budget(call.m_Service->m_Name).GiveBack();
+            Budget(call.m_Service->m_Name).ReturnToken();
         co_return false;
     }
     resent.Add(1);
@@ -270,7 +270,8 @@
         m_CrashDetector.OnConnectionLost(attempt.m_Server, attempt.m_Address, {call.m_Caller.m_Id, call.ContentHash()});
     call.m_LastServer   = attempt.m_Server.m_Id;
     const TimePoint now = Now();
-    const bool too_late = now >= AttemptEnds(call.m_Deadline, false) && end == AttemptEnd_MayHaveRun; // the deadline ended it: no fault of the server
+    const bool      too_late =
+        now >= AttemptEndTime(call.m_Deadline, false) && end == AttemptEnd_MayHaveRun; // the deadline ended it: no fault of the server
     if (too_late)
         NoteFailure(call, AttemptCause_Deadline, "deadline reached");
     call.m_Quiet                = now - std::max(pace.m_SentAt, pace.m_HeardAt);
--- a/src/request/key_journal.cpp
+++ b/src/request/key_journal.cpp
@@ -75,7 +75,7 @@
 {
     const std::optional<int64_t> minted = MintedAtMs(key);
     if (!minted)
-        return {JournalType_BadKey, nullptr};
+        return {JournalDecision_BadKey, nullptr};
     const std::string id    = EntryId(scope, key);
     Shard&            shard = ShardOf(id);
     std::lock_guard   lock(shard.m_Mutex);
@@ -83,20 +83,20 @@
     if (it != shard.m_Entries.end())
     {
         if (it->second.m_Fingerprint != fingerprint)
-            return {JournalType_Mismatch, nullptr};
+            return {JournalDecision_Mismatch, nullptr};
         if (!it->second.m_Result)
-            return {JournalType_Running, nullptr};
-        return {JournalType_Replay, it->second.m_Result};
+            return {JournalDecision_Running, nullptr};
+        return {JournalDecision_Replay, it->second.m_Result};
     }
     if (*minted > wall_ms + m_Config.m_SkewMs)
-        return {JournalType_FromFuture, nullptr};
+        return {JournalDecision_FromFuture, nullptr};
     if (*minted <= m_HorizonMs.load())
-        return {JournalType_TooOld, nullptr};
+        return {JournalDecision_TooOld, nullptr};
     if (!accept)
-        return {JournalType_Refused, nullptr};
+        return {JournalDecision_Refused, nullptr};
     shard.m_Entries[id] = {fingerprint, *minted, nullptr};
     m_Entries.fetch_add(1);
-    return {JournalType_Run, nullptr};
+    return {JournalDecision_Run, nullptr};
 }
 
 void KeyJournal::Finish(std::string_view scope, std::string_view key, StoredResult result)
@@ -125,7 +125,7 @@
     m_Entries.fetch_sub(1);
 }
 
-// What is forgotten raises the horizon, so that a repeat of it is refused as "may have run" and never runs again.
+// Raises the horizon to the evicted key, so that a repeated call with this key is refused as "may have run" and never runs twice.
 void KeyJournal::EvictLocked(Shard& s)
 {
     while (!s.m_Finished.empty() && (s.m_Entries.size() > m_Config.m_MaxEntries / kShards || s.m_Bytes > m_Config.m_MaxBytes / kShards))
@@ -143,8 +143,8 @@
 
 void KeyJournal::RaiseHorizon(int64_t wall_ms)
 {
-    int64_t old = m_HorizonMs.load();
-    while (wall_ms > old && !m_HorizonMs.compare_exchange_weak(old, wall_ms))
+    int64_t current = m_HorizonMs.load();
+    while (wall_ms > current && !m_HorizonMs.compare_exchange_weak(current, wall_ms))
     {
     }
 }
