--- a/src/programs/agent.cpp
+++ b/src/programs/agent.cpp
@@ -117,7 +117,7 @@
     {
         json::object o  = agent.m_Weights ? agent.m_Weights->DescribeJson() : json::object();
         o["in_flight"]  = agent.m_Serve->InFlight();
-        o["leaving"]    = agent.m_Serve->Leaving();
+        o["leaving"]    = agent.m_Serve->IsLeaving();
         o["revision"]   = agent.m_Node->Config()->m_Revision;
         o["link_bytes"] = agent.m_Node->ControlBytes();
         o["links"]      = agent.m_Node->AllLinks().size();
--- a/src/programs/platform_router.cpp
+++ b/src/programs/platform_router.cpp
@@ -364,7 +364,7 @@
     r.m_Name       = daemon.Settings().m_Name;
     r.m_DataCentre = daemon.Settings().m_DataCentre;
     r.m_Places     = std::make_unique<PlaceChannel>(daemon.Ioc(), *r.m_Loads);
-    r.m_Serve->AskBoxes(*r.m_Places, internal.value().m_Port);
+    r.m_Serve->UsePlaceChannel(*r.m_Places, internal.value().m_Port);
     const std::string region = s.m_Platform.m_Region.empty() ? daemon.Settings().m_DataCentre : s.m_Platform.m_Region;
     r.m_Peers = std::make_unique<DeclarationsPeers>(daemon.Ioc(), RouterName{daemon.Settings().m_Name, internal.value(), region}, *r.m_Loads,
                                                     [&r](const DeclaredRows& rows) { OnDeclaredRows(r, rows); });
--- a/src/request/agent_serve.cpp
+++ b/src/request/agent_serve.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr size_t kStoredBodyMax = 256 * 1024;      // a keyed answer longer than this can't be replayed
-constexpr auto   kRunningPoll   = milliseconds(5); // how often a repeated key looks whether the first one has ended
-constexpr auto   kCreditWait    = milliseconds(100);
+constexpr size_t kStoredBodyMaxBytes = 256 * 1024;      // a keyed answer longer than this can't be replayed
+constexpr auto   kRunningKeyPoll     = milliseconds(5); // how often a repeated key looks whether the first one has ended
+constexpr auto   kCreditWait         = milliseconds(100);
 
 } // namespace
 
@@ -52,7 +52,7 @@
     ServedCallPtr           Find(const LinkPtr& link, uint64_t exchange) const;
     awaitable<void>         Run(ServedCallPtr call);
     awaitable<void>         RunKeyed(ServedCallPtr call);
-    awaitable<void>         RunOpen(ServedCallPtr call);
+    awaitable<void>         RunRepeatable(ServedCallPtr call);
     awaitable<void>         Stream(ServedCallPtr call);
     awaitable<StoredResult> CallWhole(ServedCallPtr call, bool* not_run);
     awaitable<bool>         WaitCredit(ServedCallPtr call);
@@ -74,9 +74,9 @@
     std::atomic<bool>     m_Drained{false};  // the declared Box is drained
     std::atomic<uint64_t> m_InFlight{0};     //
 
-    mutable std::mutex                                        m_Mutex;  // guards the members below
-    std::map<std::pair<const Link*, uint64_t>, ServedCallPtr> m_Calls;  // running calls
-    std::set<std::string>                                     m_HomeOf; // services that this box was a home of
+    mutable std::mutex                                        m_Mutex;        // guards the members below
+    std::map<std::pair<const Link*, uint64_t>, ServedCallPtr> m_Calls;        // running calls
+    std::set<std::string>                                     m_HomeServices; // services that this box was a home of
 };
 
 ServedCallPtr AgentServe::Impl::Find(const LinkPtr& link, uint64_t exchange) const
@@ -108,7 +108,7 @@
     if (call->m_Call.keyed)
         co_await RunKeyed(call);
     else
-        co_await RunOpen(call);
+        co_await RunRepeatable(call);
     m_InFlight.fetch_sub(1);
     std::lock_guard lock(m_Mutex);
     m_Calls.erase({call->m_Link.get(), call->m_Exchange});
@@ -153,7 +153,7 @@
 // Calls that may be repeated
 //-----------------------------------------------------------------------------
 
-awaitable<void> AgentServe::Impl::RunOpen(ServedCallPtr call)
+awaitable<void> AgentServe::Impl::RunRepeatable(ServedCallPtr call)
 {
     if (m_Draining.load() || m_Drained.load())
     {
@@ -183,7 +183,7 @@
     co_return call->m_Credit.load() > 0 && !call->m_Cancelled.load() && !call->m_Link->Closed();
 }
 
-static bool HopByHop(std::string_view name)
+static bool IsHopByHop(std::string_view name)
 {
     return name == "Connection" || name == "Transfer-Encoding" || name == "Content-Length" || name == "Keep-Alive";
 }
@@ -202,7 +202,7 @@
     head.status = static_cast<uint16_t>(stream->Head().m_Status);
     for (const HttpField& f : stream->Head().m_Fields)
     {
-        if (HopByHop(f.m_Name))
+        if (IsHopByHop(f.m_Name))
             continue;
         auto field   = std::make_unique<wire::FieldT>();
         field->name  = f.m_Name;
@@ -299,7 +299,7 @@
     JournalAnswer     a      = m_Journal.Begin(scope, call->m_Call.key, Fingerprint(call->m_Call), WallMs(), accept);
     while (a.m_Type == JournalType_Running && Now() < call->m_Deadline && !call->m_Cancelled.load())
     {
-        co_await SleepFor(kRunningPoll);
+        co_await SleepFor(kRunningKeyPoll);
         a = m_Journal.Begin(scope, call->m_Call.key, Fingerprint(call->m_Call), WallMs(), accept);
     }
     if (a.m_Type == JournalType_Replay)
@@ -351,12 +351,12 @@
     }
     result.m_Status = stream->Head().m_Status;
     for (const HttpField& f : stream->Head().m_Fields)
-        if (!HopByHop(f.m_Name))
+        if (!IsHopByHop(f.m_Name))
             result.m_Fields.push_back({f.m_Name, f.m_Value});
     for (;;)
     {
         auto piece = co_await stream->Read(call->m_Deadline);
-        if (!piece || result.m_Body.size() > kStoredBodyMax)
+        if (!piece || result.m_Body.size() > kStoredBodyMaxBytes)
             co_return StoredResult{};
         if (piece.value().m_Done)
             break;
@@ -443,10 +443,10 @@
     {
         const auto& boxes = service.m_Spec.m_Boxes;
         const bool  home  = std::find(boxes.begin(), boxes.end(), self) != boxes.end() && !service.m_Spec.m_NonRepeatable.empty();
-        if (home && m_Impl->m_HomeOf.insert(name).second)
+        if (home && m_Impl->m_HomeServices.insert(name).second)
             m_Impl->m_Journal.RaiseHorizon(WallMs() + m_Impl->m_Settings.m_SkewMs);
         if (!home)
-            m_Impl->m_HomeOf.erase(name);
+            m_Impl->m_HomeServices.erase(name);
     }
 }
 
@@ -456,7 +456,7 @@
     LogEvent(Event_BoxLeaving);
 }
 
-bool AgentServe::Leaving() const
+bool AgentServe::IsLeaving() const
 {
     return m_Impl->m_Draining.load() || m_Impl->m_Drained.load();
 }
@@ -468,7 +468,7 @@
 
 void AgentServe::Describe(wire::AgentStateT& out) const
 {
-    out.leaving             = Leaving();
+    out.leaving             = IsLeaving();
     out.in_flight           = static_cast<uint32_t>(InFlight());
     const ConfigPtr    c    = m_Impl->m_Node.Config();
     const std::string& self = m_Impl->m_Daemon.Settings().m_Name;
--- a/src/request/agent_serve.h
+++ b/src/request/agent_serve.h
@@ -36,7 +36,7 @@
     void     OnLinkDown(const LinkPtr& link);
     void     OnConfig(const ConfigPtr& c);
     void     BeginDrain(); // refuse new work from now on
-    bool     Leaving() const;
+    bool     IsLeaving() const;
     uint64_t InFlight() const; // calls accepted and not ended
     void     Describe(wire::AgentStateT& out) const;
 
--- a/src/request/direct_attempt.cpp
+++ b/src/request/direct_attempt.cpp
@@ -7,47 +7,48 @@
 namespace
 {
 
-constexpr auto     kIdleRepeatable = seconds(4);        // a connection that rested longer isn't used: its server may have forgotten it
-constexpr auto     kIdleOnce       = milliseconds(0);   // a server may have forgotten a resting connection: a request that runs once gets a new one
-constexpr auto     kTurn           = milliseconds(50);  // that one of several servers is listened to while all pause
-constexpr auto     kWithdrawn      = milliseconds(150); // a reset is at the server this much before it must not begin; beyond the way there
-constexpr auto     kLookTakes = milliseconds(700); // for asking boxes and connecting elsewhere, at most; paused attempts aren't listened to meanwhile
-constexpr unsigned kPriorityResumed = 0;           // a stream that broke: its caller sees the pause until it goes on
-constexpr auto     kStaleMax        = milliseconds(250); // after sending; a server that ends a kept connection later broke off its work
-constexpr size_t   kAnswerMax       = 64 * 1024 * 1024;  // bytes of an answer that is held until it is whole
-
-bool IsServerFault(unsigned status)
+constexpr auto kMaxIdleRepeatable    = seconds(4);        // a connection that rested longer isn't used: its server may have forgotten it
+constexpr auto kMaxIdleNotRepeatable = milliseconds(0);   // a server may have forgotten a resting connection: a request that runs once gets a new one
+constexpr auto kStalledReadTurn      = milliseconds(50);  // that one of several servers is listened to while all pause
+constexpr auto kCancelLeadTime       = milliseconds(150); // a reset is at the server this much before it must not begin; beyond the way there
+constexpr auto kNextServerSearchMax =
+    milliseconds(700);                       // for asking boxes and connecting elsewhere, at most; paused attempts aren't listened to meanwhile
+constexpr unsigned kPriorityResumed     = 0; // a stream that broke: its caller sees the pause until it goes on
+constexpr auto     kStaleConnectionMax  = milliseconds(250); // after sending; a server that ends a kept connection later broke off its work
+constexpr size_t   kWholeAnswerMaxBytes = 64 * 1024 * 1024;  // bytes of an answer that is held until it is whole
+
+bool IsServerError(unsigned status)
 {
     return status >= 500;
 }
 
-void NoteEvent(StreamPace& pace, TimePoint before, TimePoint heard)
+void RecordEvent(EventTiming& timing, TimePoint before, TimePoint heard)
 {
-    if (pace.m_Begun)
-        pace.m_Gap = std::max(pace.m_Gap, heard - before);
+    if (timing.m_FirstEventReceived)
+        timing.m_LongestGap = std::max(timing.m_LongestGap, heard - before);
     else
-        pace.m_First = heard - pace.m_SentAt;
-    pace.m_Begun = true;
+        timing.m_TimeToFirst = heard - timing.m_SentAt;
+    timing.m_FirstEventReceived = true;
 }
 
 // By a whole objective later than predicted: waits vary by less than that while the view of the servers is right.
 bool IsSlow(const Call& call, const RequestAttempt& attempt)
 {
-    return attempt.m_Pace.m_Begun &&
-           (attempt.m_Pace.m_First > attempt.m_Predicted + call.m_Route->m_Goal || attempt.m_Pace.m_Gap > call.m_Route->m_MaxGap);
+    return attempt.m_Timing.m_FirstEventReceived && (attempt.m_Timing.m_TimeToFirst > attempt.m_PredictedFirstEvent + call.m_Route->m_Goal ||
+                                                     attempt.m_Timing.m_LongestGap > call.m_Route->m_MaxGap);
 }
 
-AttemptCause CauseOf(const Error& e)
+FailureCause FailureCauseOf(const Error& e)
 {
     if (e.m_Verdict == Verdict_NotRun)
-        return AttemptCause_Unreachable;
-    return e.m_Code == ErrorCode_Timeout ? AttemptCause_Silence : AttemptCause_Closed;
+        return FailureCause_Unreachable;
+    return e.m_Code == ErrorCode_Timeout ? FailureCause_Timeout : FailureCause_Closed;
 }
 
-void NoteFailure(Call& call, AttemptCause cause, std::string why)
+void RecordFailure(Call& call, FailureCause cause, std::string why)
 {
-    call.m_Cause = cause;
-    call.m_Why   = std::move(why);
+    call.m_Cause       = cause;
+    call.m_FailureText = std::move(why);
 }
 
 ServerOutcome OutcomeOf(AttemptEnd end, const Call& call, bool reached, const RequestAttempt& attempt)
@@ -80,85 +81,85 @@
 // The exchange
 //-----------------------------------------------------------------------------
 
-ForwardFields DirectServe::Impl::FieldsFor(const Call& call, std::string_view server_id, TimePoint now) const
+ForwardFields DirectServe::Impl::ForwardFieldsFor(const Call& call, std::string_view server_id, TimePoint now) const
 {
     const unsigned of_route = call.m_Route->m_Priority;
     const unsigned declared = call.m_Account != nullptr ? call.m_Account->m_Priority.value_or(of_route) : of_route;
     ForwardFields  add;
     add.m_ServerId    = server_id;
     add.m_Account     = call.m_Account != nullptr ? call.m_Account->m_Name : std::string();
-    add.m_Remaining   = call.Left(now);
-    add.m_Priority    = call.m_Events > 0 ? kPriorityResumed : declared;
+    add.m_Remaining   = call.TimeLeft(now);
+    add.m_Priority    = call.m_EventsSent > 0 ? kPriorityResumed : declared;
     add.m_Weights     = ExpectedWeights(call, now);
-    add.m_ResumeAfter = call.m_LastEvent;
+    add.m_ResumeAfter = call.m_LastEventId;
     return add;
 }
 
-HttpCallOptions DirectServe::Impl::OptionsFor(Call& call) const
+HttpCallOptions DirectServe::Impl::CallOptionsFor(Call& call) const
 {
     HttpCallOptions options;
     options.m_ConnectMax = milliseconds(m_Settings.m_ConnectMs);
-    options.m_IdleMax    = call.m_Route->MayRepeat() ? Duration(kIdleRepeatable) : Duration(kIdleOnce);
+    options.m_IdleMax    = call.m_Route->MayRepeat() ? Duration(kMaxIdleRepeatable) : Duration(kMaxIdleNotRepeatable);
     options.m_Abort      = &call.m_Abort;
     options.m_IsOurs     = [this, &call](const HttpResponse& head) { return m_Protocol.DecodeAnswer(head).m_RequestId == call.m_Caller.m_Id; };
     return options;
 }
 
 // After this the attempt must not begin any more: its server's weights are too old then. Default: any time.
-TimePoint DirectServe::Impl::BeginBy(const Call& call, const RequestAttempt& attempt) const
+TimePoint DirectServe::Impl::LatestBegin(const Call& call, const RequestAttempt& attempt) const
 {
     for (const WeightsDeadline& d : WeightsDeadlines(call))
-        if (attempt.m_Weights > 0 && d.m_Version > attempt.m_Weights)
-            return d.m_At - kWithdrawn;
+        if (attempt.m_WeightsVersion > 0 && d.m_Version > attempt.m_WeightsVersion)
+            return d.m_At - kCancelLeadTime;
     return TimePoint::max();
 }
 
-TimePoint DirectServe::Impl::EndAt(const Call& call, const RequestAttempt& attempt) const
+TimePoint DirectServe::Impl::AttemptDeadline(const Call& call, const RequestAttempt& attempt) const
 {
     const TimePoint end_at   = AttemptEnds(call.m_Deadline, call.m_HeadSent);
-    const bool      may_wait = attempt.m_Pace.m_Begun || !call.IsStream() || !call.m_Route->MayRepeat();
-    return may_wait ? end_at : std::min(end_at, BeginBy(call, attempt));
+    const bool      may_wait = attempt.m_Timing.m_FirstEventReceived || !call.IsStream() || !call.m_Route->MayRepeat();
+    return may_wait ? end_at : std::min(end_at, LatestBegin(call, attempt));
 }
 
 // Only a stream that may be sent again is looked for elsewhere while its server is at work on it.
-TimePoint DirectServe::Impl::QuietUntil(const Call& call, const RequestAttempt& attempt) const
+TimePoint DirectServe::Impl::StallDeadline(const Call& call, const RequestAttempt& attempt) const
 {
-    const TimePoint end_at = EndAt(call, attempt);
+    const TimePoint end_at = AttemptDeadline(call, attempt);
     if (!call.IsStream() || !call.m_Route->MayRepeat())
         return end_at;
-    const TimePoint look_at = call.m_Paused.empty() ? call.m_LookAt : std::min(call.m_LookAt, attempt.m_TurnEnd);
+    const TimePoint look_at = call.m_StalledAttempts.empty() ? call.m_TryNextServerAt : std::min(call.m_TryNextServerAt, attempt.m_ReadTurnEnd);
     return std::min(end_at, look_at);
 }
 
 awaitable<AttemptEnd> DirectServe::Impl::Attempt(Call& call, ServerEntry server)
 {
-    const TimePoint       sent_at = Now();
-    const HttpRequest     forward = m_Protocol.Forward(call.m_Request, FieldsFor(call, server.m_Id, sent_at));
-    const HttpCallOptions options = OptionsFor(call);
-    RequestAttemptPtr     attempt = std::make_unique<RequestAttempt>(server.Life(), server.m_Address);
-    attempt->m_Weights            = call.m_Choice.m_Weights;
-    attempt->m_Predicted          = call.m_Choice.m_Predicted;
-    attempt->m_Pace.m_SentAt      = sent_at;
-    call.m_LookAt                 = sent_at + milliseconds(m_Settings.m_FirstEventMs);
+    const TimePoint       sent_at  = Now();
+    const HttpRequest     forward  = m_Protocol.Forward(call.m_Request, ForwardFieldsFor(call, server.m_Id, sent_at));
+    const HttpCallOptions options  = CallOptionsFor(call);
+    RequestAttemptPtr     attempt  = std::make_unique<RequestAttempt>(server.Life(), server.m_Address);
+    attempt->m_WeightsVersion      = call.m_Choice.m_Weights;
+    attempt->m_PredictedFirstEvent = call.m_Choice.m_Predicted;
+    attempt->m_Timing.m_SentAt     = sent_at;
+    call.m_TryNextServerAt         = sent_at + milliseconds(m_Settings.m_FirstEventMs);
 
     m_Choice.OnSent(attempt->m_Server, call.m_Caller.m_Prompt, sent_at);
     m_Limits.OnSent(attempt->m_Server, sent_at);
     // A server that doesn't take the request has nothing to go on with: it is waited for no longer than for a first event.
     const bool      elsewhere = call.IsStream() && call.m_Route->MayRepeat();
-    const TimePoint end_at    = EndAt(call, *attempt);
-    const TimePoint sent_by   = elsewhere ? std::min(end_at, call.m_LookAt) : end_at;
+    const TimePoint end_at    = AttemptDeadline(call, *attempt);
+    const TimePoint sent_by   = elsewhere ? std::min(end_at, call.m_TryNextServerAt) : end_at;
     auto            sent      = co_await m_Client.Send(server.m_Address, forward, sent_by, options);
     if (!sent)
     {
         const bool reached = sent.error().m_Verdict != Verdict_NotRun; // the request may have arrived
-        NoteFailure(call, CauseOf(sent.error()), sent.error().m_Message);
+        RecordFailure(call, FailureCauseOf(sent.error()), sent.error().m_Message);
         if (reached)
             call.m_Tried.push_back(attempt->m_Server);
-        co_return Conclude(call, *attempt, reached ? AttemptEnd_MayHaveRun : AttemptEnd_NotRun, reached);
+        co_return FinishAttempt(call, *attempt, reached ? AttemptEnd_MayHaveRun : AttemptEnd_NotRun, reached);
     }
     call.m_Tried.push_back(attempt->m_Server);
     attempt->m_Stream = std::move(sent.value());
-    co_return co_await Follow(call, std::move(attempt));
+    co_return co_await RelayUntilStall(call, std::move(attempt));
 }
 
 // A server may end a kept connection while a request is on its way there. That says nothing of the server, so a request that may be repeated is sent
@@ -168,8 +169,8 @@
     const TimePoint now = Now();
     if (!attempt.m_Stream->Stale() || attempt.m_Resent || !call.m_Route->MayRepeat() || call.m_Abort.Aborted())
         return false;
-    const bool crossed = now - attempt.m_Pace.m_SentAt < kStaleMax;
-    const bool in_time = EndAt(call, attempt) - now > kMinLeft;
+    const bool crossed = now - attempt.m_Timing.m_SentAt < kStaleConnectionMax;
+    const bool in_time = AttemptDeadline(call, attempt) - now > kMinTimeForAttempt;
     if (!crossed || !in_time || !IsUsable(attempt.m_Server, now) || m_CrashHistory.IsBlocked(call.ContentHash(), now))
         return false;
     return Budget(call.m_Service->m_Name).TryTake(call.m_HeadSent);
@@ -179,11 +180,11 @@
 {
     static Counter&   resent  = Metrics().GetCounter("aldervale_requests_resent_total");
     const TimePoint   now     = Now();
-    const HttpRequest forward = m_Protocol.Forward(call.m_Request, FieldsFor(call, attempt.m_Server.m_Id, now));
-    HttpCallOptions   options = OptionsFor(call);
+    const HttpRequest forward = m_Protocol.Forward(call.m_Request, ForwardFieldsFor(call, attempt.m_Server.m_Id, now));
+    HttpCallOptions   options = CallOptionsFor(call);
     options.m_Fresh           = true;
     attempt.m_Resent          = true;
-    auto sent                 = co_await m_Client.Send(attempt.m_Address, forward, EndAt(call, attempt), options);
+    auto sent                 = co_await m_Client.Send(attempt.m_Address, forward, AttemptDeadline(call, attempt), options);
     if (!sent)
     {
         if (sent.error().m_Verdict == Verdict_NotRun)
@@ -194,89 +195,89 @@
     m_Limits.OnSent(attempt.m_Server, now);
     attempt.m_Stream = std::move(sent.value());
     LogEvent(Event_RequestRetried,
-             {{"id", call.m_Caller.m_Id}, {"server", attempt.m_Server.m_Id}, {"why", "kept connection ended"}, {"events", call.m_Events}});
+             {{"id", call.m_Caller.m_Id}, {"server", attempt.m_Server.m_Id}, {"why", "kept connection ended"}, {"events", call.m_EventsSent}});
     co_return true;
 }
 
 // A server that says nothing may go on yet, and what it has done can't be had elsewhere for nothing: its attempt is only set aside, and ends when
 // another server has an event to pass on. Ended at once, streams were broken off that no other server took.
-awaitable<AttemptEnd> DirectServe::Impl::Follow(Call& call, RequestAttemptPtr attempt)
+awaitable<AttemptEnd> DirectServe::Impl::RelayUntilStall(Call& call, RequestAttemptPtr attempt)
 {
-    attempt->m_TurnEnd   = Now() + kTurn;
-    const AttemptEnd end = co_await Relay(call, *attempt);
-    if (end != AttemptEnd_Paused || call.m_Abort.Aborted())
-        co_return Conclude(call, *attempt, end, true);
-    if (!attempt->m_WasQuiet && Now() >= call.m_LookAt)
+    attempt->m_ReadTurnEnd = Now() + kStalledReadTurn;
+    const AttemptEnd end   = co_await Relay(call, *attempt);
+    if (end != AttemptEnd_Stalled || call.m_Abort.Aborted())
+        co_return FinishAttempt(call, *attempt, end, true);
+    if (!attempt->m_StallCounted && Now() >= call.m_TryNextServerAt)
     {
-        attempt->m_WasQuiet = true;
-        call.m_Pauses++;
-        call.m_Why = "server " + attempt->m_Server.m_Id + " pauses";
+        attempt->m_StallCounted = true;
+        call.m_StallCount++;
+        call.m_FailureText = "server " + attempt->m_Server.m_Id + " pauses";
         m_Choice.OnPause(attempt->m_Server, Now());
     }
-    call.m_Paused.push_back(std::move(attempt));
+    call.m_StalledAttempts.push_back(std::move(attempt));
     co_return end;
 }
 
 // While another server is looked for nobody listens to them, and their weights may become too old to begin with.
-void DirectServe::Impl::WithdrawLate(Call& call, TimePoint now)
+void DirectServe::Impl::CancelLateAttempts(Call& call, TimePoint now)
 {
     std::deque<RequestAttemptPtr> kept;
-    for (RequestAttemptPtr& attempt : call.m_Paused)
+    for (RequestAttemptPtr& attempt : call.m_StalledAttempts)
     {
-        if (attempt->m_Pace.m_Begun || BeginBy(call, *attempt) > now + kLookTakes)
+        if (attempt->m_Timing.m_FirstEventReceived || LatestBegin(call, *attempt) > now + kNextServerSearchMax)
             kept.push_back(std::move(attempt));
         else
         {
             call.m_MayHaveRun = true; // it was sent
-            m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, call.m_Caller.m_Prompt, now - attempt->m_Pace.m_SentAt, now);
+            m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, call.m_Caller.m_Prompt, now - attempt->m_Timing.m_SentAt, now);
         }
     }
-    call.m_Paused = std::move(kept);
+    call.m_StalledAttempts = std::move(kept);
 }
 
-awaitable<AttemptEnd> DirectServe::Impl::GoOn(Call& call)
+awaitable<AttemptEnd> DirectServe::Impl::ReadStalledAttempts(Call& call)
 {
-    AttemptEnd end = AttemptEnd_Paused;
-    while (end == AttemptEnd_Paused && !call.m_Paused.empty() && Now() < call.m_LookAt)
+    AttemptEnd end = AttemptEnd_Stalled;
+    while (end == AttemptEnd_Stalled && !call.m_StalledAttempts.empty() && Now() < call.m_TryNextServerAt)
     {
-        RequestAttemptPtr attempt = std::move(call.m_Paused.front());
-        call.m_Paused.pop_front();
-        end = co_await Follow(call, std::move(attempt));
+        RequestAttemptPtr attempt = std::move(call.m_StalledAttempts.front());
+        call.m_StalledAttempts.pop_front();
+        end = co_await RelayUntilStall(call, std::move(attempt));
     }
     co_return end;
 }
 
-void DirectServe::Impl::DropPaused(Call& call)
+void DirectServe::Impl::CancelStalledAttempts(Call& call)
 {
     const TimePoint now = Now();
-    for (const RequestAttemptPtr& attempt : call.m_Paused)
+    for (const RequestAttemptPtr& attempt : call.m_StalledAttempts)
     {
-        const double unread = attempt->m_Pace.m_Begun ? 0 : call.m_Caller.m_Prompt;
-        m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, unread, now - attempt->m_Pace.m_SentAt, now); // the pause was counted as it came
+        const double unread = attempt->m_Timing.m_FirstEventReceived ? 0 : call.m_Caller.m_Prompt;
+        m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, unread, now - attempt->m_Timing.m_SentAt, now); // the pause was counted as it came
     }
-    call.m_Paused.clear();
+    call.m_StalledAttempts.clear();
 }
 
-AttemptEnd DirectServe::Impl::Conclude(Call& call, const RequestAttempt& attempt, AttemptEnd end, bool reached)
+AttemptEnd DirectServe::Impl::FinishAttempt(Call& call, const RequestAttempt& attempt, AttemptEnd end, bool reached)
 {
-    const StreamPace& pace = attempt.m_Pace;
+    const EventTiming& timing = attempt.m_Timing;
     if (call.m_Abort.Aborted())
         end = AttemptEnd_CallerGone;
     if (end == AttemptEnd_CallerGone)
-        call.m_Cause = AttemptCause_CallerGone;
-    if (end == AttemptEnd_MayHaveRun || end == AttemptEnd_ServerFault)
+        call.m_Cause = FailureCause_CallerGone;
+    if (end == AttemptEnd_MayHaveRun || end == AttemptEnd_ServerError)
         call.m_MayHaveRun = true;
-    if (end == AttemptEnd_MayHaveRun && call.m_Cause == AttemptCause_Closed)
+    if (end == AttemptEnd_MayHaveRun && call.m_Cause == FailureCause_Closed)
         m_CrashDetector.OnConnectionLost(attempt.m_Server, attempt.m_Address, {call.m_Caller.m_Id, call.ContentHash()});
     call.m_LastServer   = attempt.m_Server.m_Id;
     const TimePoint now = Now();
     const bool too_late = now >= AttemptEnds(call.m_Deadline, false) && end == AttemptEnd_MayHaveRun; // the deadline ended it: no fault of the server
     if (too_late)
-        NoteFailure(call, AttemptCause_Deadline, "deadline reached");
-    call.m_Quiet                = now - std::max(pace.m_SentAt, pace.m_HeardAt);
+        RecordFailure(call, FailureCause_Deadline, "deadline reached");
+    call.m_SilenceAtEnd         = now - std::max(timing.m_SentAt, timing.m_LastReceivedAt);
     const ServerOutcome outcome = too_late ? ServerOutcome_Cancelled : OutcomeOf(end, call, reached, attempt);
-    const double        unread  = pace.m_Begun ? 0 : call.m_Caller.m_Prompt;
-    m_Choice.OnEnd(attempt.m_Server, outcome, unread, now - pace.m_SentAt, now);
+    const double        unread  = timing.m_FirstEventReceived ? 0 : call.m_Caller.m_Prompt;
+    m_Choice.OnEnd(attempt.m_Server, outcome, unread, now - timing.m_SentAt, now);
     return end;
 }
 
@@ -285,41 +286,41 @@
 //-----------------------------------------------------------------------------
 
 // A 421 comes from a different server that now has the address, so it says nothing about the limit of the expected one.
-void DirectServe::Impl::NoteLimit(const RequestAttempt& attempt, const ServerAnswer& answer)
+void DirectServe::Impl::UpdateServerLimit(const RequestAttempt& attempt, const ServerAnswer& answer)
 {
     if (attempt.m_Stream->Head().m_Status == 421)
         return;
-    const bool changed = m_Limits.OnAnswer(attempt.m_Server, answer.m_RateLimit, attempt.m_Pace.m_SentAt, Now());
+    const bool changed = m_Limits.OnAnswer(attempt.m_Server, answer.m_RateLimit, attempt.m_Timing.m_SentAt, Now());
     if (changed)
         LogEvent(Event_ServerLimitChanged, {{"server", attempt.m_Server.m_Id}, {"per_s", answer.m_RateLimit.value_or(-1)}});
 }
 
 awaitable<AttemptEnd> DirectServe::Impl::Relay(Call& call, RequestAttempt& attempt)
 {
-    if (!attempt.m_Headed)
+    if (!attempt.m_HeadReceived)
     {
-        auto head   = co_await attempt.m_Stream->ReadHead(QuietUntil(call, attempt), EndAt(call, attempt));
+        auto head   = co_await attempt.m_Stream->ReadHead(StallDeadline(call, attempt), AttemptDeadline(call, attempt));
         bool resent = false;
         if (!head && MayResend(call, attempt))
             resent = co_await Resend(call, attempt);
         if (resent)
-            head = co_await attempt.m_Stream->ReadHead(QuietUntil(call, attempt), EndAt(call, attempt));
+            head = co_await attempt.m_Stream->ReadHead(StallDeadline(call, attempt), AttemptDeadline(call, attempt));
         if (!head)
         {
-            NoteFailure(call, CauseOf(head.error()), head.error().m_Message);
+            RecordFailure(call, FailureCauseOf(head.error()), head.error().m_Message);
             co_return AttemptEnd_MayHaveRun;
         }
         if (!head.value())
-            co_return AttemptEnd_Paused;
+            co_return AttemptEnd_Stalled;
     }
     const unsigned     status = attempt.m_Stream->Head().m_Status;
     const ServerAnswer answer = m_Protocol.DecodeAnswer(attempt.m_Stream->Head());
-    if (!attempt.m_Headed)
-        NoteLimit(attempt, answer);
-    attempt.m_Headed = true;
+    if (!attempt.m_HeadReceived)
+        UpdateServerLimit(attempt, answer);
+    attempt.m_HeadReceived = true;
     if (answer.m_NotRun)
     {
-        NoteFailure(call, AttemptCause_Refused, "server " + attempt.m_Server.m_Id + " refused with " + std::to_string(status));
+        RecordFailure(call, FailureCause_Refused, "server " + attempt.m_Server.m_Id + " refused with " + std::to_string(status));
         co_await ReadToEnd(*attempt.m_Stream, Now() + milliseconds(m_Settings.m_ConnectMs));
         co_return AttemptEnd_NotRun;
     }
@@ -333,39 +334,39 @@
     HttpStream& stream = *attempt.m_Stream;
     for (;;)
     {
-        const auto piece = co_await stream.Read(QuietUntil(call, attempt), EndAt(call, attempt));
+        const auto piece = co_await stream.Read(StallDeadline(call, attempt), AttemptDeadline(call, attempt));
         if (!piece)
         {
-            NoteFailure(call, CauseOf(piece.error()), piece.error().m_Message);
+            RecordFailure(call, FailureCauseOf(piece.error()), piece.error().m_Message);
             co_return AttemptEnd_MayHaveRun;
         }
         if (piece.value().m_Quiet)
-            co_return AttemptEnd_Paused;
+            co_return AttemptEnd_Stalled;
         if (piece.value().m_Done)
             break;
         attempt.m_Body.append(piece.value().m_Bytes);
-        if (attempt.m_Body.size() > kAnswerMax)
+        if (attempt.m_Body.size() > kWholeAnswerMaxBytes)
         {
-            NoteFailure(call, AttemptCause_Spoilt, "answer over the bound");
+            RecordFailure(call, FailureCause_InvalidAnswer, "answer over the bound");
             co_return AttemptEnd_MayHaveRun;
         }
     }
     HttpResponse res = {stream.Head().m_Status, m_Protocol.CallerFields(stream.Head()), std::move(attempt.m_Body)};
     if (call.m_HeadSent) // a stream that was to be taken up ended in another answer
     {
-        NoteFailure(call, AttemptCause_Fault, "server answered " + std::to_string(res.m_Status) + " to a resumed stream");
+        RecordFailure(call, FailureCause_ServerError, "server answered " + std::to_string(res.m_Status) + " to a resumed stream");
         co_return AttemptEnd_MayHaveRun;
     }
-    const bool hopeful = res.m_Status >= 400 && !call.m_Paused.empty(); // a server that pauses may still do better
-    if (IsServerFault(res.m_Status) || hopeful)
+    const bool hopeful = res.m_Status >= 400 && !call.m_StalledAttempts.empty(); // a server that pauses may still do better
+    if (IsServerError(res.m_Status) || hopeful)
     {
-        NoteFailure(call, AttemptCause_Fault, "server answered " + std::to_string(res.m_Status));
-        call.m_Fault = std::move(res);
-        co_return AttemptEnd_ServerFault;
+        RecordFailure(call, FailureCause_ServerError, "server answered " + std::to_string(res.m_Status));
+        call.m_ServerErrorAnswer = std::move(res);
+        co_return AttemptEnd_ServerError;
     }
-    call.m_FirstAt    = Now();
-    call.m_MayHaveRun = true; // for the log: the answer is a server's, whatever its status
-    co_await Answer(call, std::move(res));
+    call.m_FirstByteAt = Now();
+    call.m_MayHaveRun  = true; // for the log: the answer is a server's, whatever its status
+    co_await SendAnswer(call, std::move(res));
     co_return AttemptEnd_Answered;
 }
 
@@ -376,64 +377,64 @@
     while (std::optional<StreamEvent> e = events.Next())
     {
         out += e->m_Bytes;
-        call.m_LastEvent = e->m_Id.empty() ? call.m_LastEvent : e->m_Id;
-        call.m_Events++;
+        call.m_LastEventId = e->m_Id.empty() ? call.m_LastEventId : e->m_Id;
+        call.m_EventsSent++;
     }
     return out;
 }
 
-awaitable<bool> DirectServe::Impl::PassOn(Call& call, const HttpResponse& head, const std::string& events, TimePoint heard)
+awaitable<bool> DirectServe::Impl::SendEvents(Call& call, const HttpResponse& head, const std::string& events, TimePoint heard)
 {
     if (!call.m_HeadSent)
     {
         call.m_HeadSent         = true;
         call.m_Status           = head.m_Status;
-        call.m_FirstAt          = heard;
+        call.m_FirstByteAt      = heard;
         const HttpFields fields = m_Protocol.CallerFields(head);
         const bool       begun  = co_await call.m_Reply.Start(call.m_Status, fields);
         if (!begun)
             co_return false;
     }
     else
-        call.m_WorstGap = std::max(call.m_WorstGap, heard - call.m_EventAt);
-    call.m_EventAt = heard;
+        call.m_LongestSentGap = std::max(call.m_LongestSentGap, heard - call.m_LastEventAt);
+    call.m_LastEventAt = heard;
     co_return co_await call.m_Reply.Write(events);
 }
 
 awaitable<AttemptEnd> DirectServe::Impl::RelayStream(Call& call, RequestAttempt& attempt)
 {
-    StreamPace& pace = attempt.m_Pace;
+    EventTiming& timing = attempt.m_Timing;
     for (;;)
     {
-        const auto piece = co_await attempt.m_Stream->Read(QuietUntil(call, attempt), EndAt(call, attempt));
+        const auto piece = co_await attempt.m_Stream->Read(StallDeadline(call, attempt), AttemptDeadline(call, attempt));
         if (!piece)
         {
-            NoteFailure(call, CauseOf(piece.error()), piece.error().m_Message);
+            RecordFailure(call, FailureCauseOf(piece.error()), piece.error().m_Message);
             co_return AttemptEnd_MayHaveRun;
         }
         if (piece.value().m_Quiet)
-            co_return AttemptEnd_Paused;
+            co_return AttemptEnd_Stalled;
         if (piece.value().m_Done)
             break;
-        const TimePoint before = pace.m_Begun ? pace.m_HeardAt : pace.m_SentAt;
-        attempt.m_Events.Feed(piece.value().m_Bytes);
-        const std::string out = TakeEvents(call, attempt.m_Events);
+        const TimePoint before = timing.m_FirstEventReceived ? timing.m_LastReceivedAt : timing.m_SentAt;
+        attempt.m_Splitter.Feed(piece.value().m_Bytes);
+        const std::string out = TakeEvents(call, attempt.m_Splitter);
         if (out.empty())
             continue;
-        pace.m_HeardAt     = Now();
-        attempt.m_WasQuiet = false;
-        call.m_LookAt      = pace.m_HeardAt + milliseconds(m_Settings.m_NextEventMs);
-        DropPaused(call); // what they would say comes again from here
-        if (!pace.m_Begun)
+        timing.m_LastReceivedAt = Now();
+        attempt.m_StallCounted  = false;
+        call.m_TryNextServerAt  = timing.m_LastReceivedAt + milliseconds(m_Settings.m_NextEventMs);
+        CancelStalledAttempts(call); // what they would say comes again from here
+        if (!timing.m_FirstEventReceived)
             m_Choice.OnFirstEvent(attempt.m_Server, call.m_Caller.m_Prompt);
-        NoteEvent(pace, before, pace.m_HeardAt);
-        const bool written = co_await PassOn(call, attempt.m_Stream->Head(), out, pace.m_HeardAt);
+        RecordEvent(timing, before, timing.m_LastReceivedAt);
+        const bool written = co_await SendEvents(call, attempt.m_Stream->Head(), out, timing.m_LastReceivedAt);
         if (!written)
             co_return AttemptEnd_CallerGone;
     }
-    if (attempt.m_Events.Left() > 0 || !call.m_HeadSent)
+    if (attempt.m_Splitter.PendingBytes() > 0 || !call.m_HeadSent)
     {
-        NoteFailure(call, AttemptCause_Closed, "stream ended inside an event");
+        RecordFailure(call, FailureCause_Closed, "stream ended inside an event");
         co_return AttemptEnd_MayHaveRun;
     }
     co_await call.m_Reply.Finish({});
--- a/src/request/direct_serve.cpp
+++ b/src/request/direct_serve.cpp
@@ -10,19 +10,20 @@
 namespace
 {
 
-constexpr auto     kNotReadyRetry  = milliseconds(300);  // when to come back to a router that knows no declarations yet
-constexpr auto     kBlockedRetry   = seconds(60);        // Retry-After of requests blocked because they crash servers
-constexpr auto     kCrashCheckPoll = milliseconds(5);    // between polls for the end of a crash check
-constexpr auto     kLookAgain      = milliseconds(500);  // between looks for another server while the ones that have the request pause
-constexpr auto     kLookLost       = milliseconds(100);  // the first pause while none has it; doubles, as many may have lost one server
-constexpr auto     kWeightsCheck   = milliseconds(2500); // before a deadline of weights, from when on servers are asked to check theirs
-constexpr unsigned kRoutersAssumed = 8;                  // sharing the retry budget, until reports say how many there are
-constexpr double   kBudgetGrown    = 1.5;                // times the routers that budgets were built for, from which on they are built anew
-constexpr double   kBudgetShare    = 0.8;                // of the declared budget that routers use together: windows slide
-constexpr double   kBudgetReserve  = 0.25;               // of that, left for answers that have begun
-
-constexpr std::string_view kCauseNames[]   = {"none", "silence", "closed", "refused", "unreachable", "fault", "spoilt", "deadline", "caller-gone"};
-constexpr std::string_view kGivenUpNames[] = {"no", "no-server", "attempts", "budget", "no-time", "runs-once", "crashes"};
+constexpr auto     kNotReadyRetryAfter    = milliseconds(300);  // when to come back to a router that knows no declarations yet
+constexpr auto     kBlockedRetryAfter     = seconds(60);        // Retry-After of requests blocked because they crash servers
+constexpr auto     kCrashCheckPoll        = milliseconds(5);    // between polls for the end of a crash check
+constexpr auto     kStalledSearchInterval = milliseconds(500);  // between looks for another server while the ones that have the request pause
+constexpr auto     kLostSearchMinPause    = milliseconds(100);  // the first pause while none has it; doubles, as many may have lost one server
+constexpr auto     kWeightsCheckLead      = milliseconds(2500); // before a deadline of weights, from when on servers are asked to check theirs
+constexpr unsigned kAssumedRouters        = 8;                  // sharing the retry budget, until reports say how many there are
+constexpr double   kBudgetRebuildFactor   = 1.5;                // times the routers that budgets were built for, from which on they are built anew
+constexpr double   kBudgetShare           = 0.8;                // of the declared budget that routers use together: windows slide
+constexpr double   kBudgetReserveShare    = 0.25;               // of that, left for answers that have begun
+
+constexpr std::string_view kFailureCauseNames[]  = {"none",  "silence", "closed",   "refused",    "unreachable",
+                                                    "fault", "spoilt",  "deadline", "caller-gone"};
+constexpr std::string_view kNoRetryReasonNames[] = {"no", "no-server", "attempts", "budget", "no-time", "runs-once", "crashes"};
 
 Counter& OutcomeCounter(std::string_view outcome)
 {
@@ -31,14 +32,14 @@
 
 } // namespace
 
-std::string_view CauseName(AttemptCause c)
+std::string_view FailureCauseName(FailureCause c)
 {
-    return kCauseNames[c];
+    return kFailureCauseNames[c];
 }
 
-std::string_view GivenUpName(GivenUp g)
+std::string_view NoRetryReasonName(NoRetryReason g)
 {
-    return kGivenUpNames[g];
+    return kNoRetryReasonNames[g];
 }
 
 std::vector<SettingSpec> DescribeDirectServe(DirectServeSettings& s)
@@ -87,20 +88,20 @@
 RetryBudget& DirectServe::Impl::Budget(const std::string& service)
 {
     // Boxes hear of routers one by one: a share that was built for the first few would be many times too large.
-    if (m_Choice.RoutersHint() > m_BudgetRouters * kBudgetGrown)
+    if (m_Choice.RoutersHint() > m_BudgetRouterCount * kBudgetRebuildFactor)
     {
-        m_BudgetRouters = m_Choice.RoutersHint();
+        m_BudgetRouterCount = m_Choice.RoutersHint();
         m_Budgets.clear();
     }
     std::unique_ptr<RetryBudget>& b = m_Budgets[service];
     if (!b)
     {
-        const double routers = m_Choice.RoutersHint() > 0 ? m_Choice.RoutersHint() : kRoutersAssumed;
+        const double routers = m_Choice.RoutersHint() > 0 ? m_Choice.RoutersHint() : kAssumedRouters;
         RetryConfig  cfg;
         cfg.m_PerRequest = m_Settings.m_RetryRatio * kBudgetShare;
         cfg.m_BudgetMax  = std::max(1.0, m_Settings.m_RetryExtra * kBudgetShare / routers);
-        cfg.m_Reserve    = std::min(cfg.m_BudgetMax * kBudgetReserve, cfg.m_BudgetMax - 1); // a small share still has one for anybody
-        cfg.m_MinLeft    = kMinLeft;
+        cfg.m_Reserve    = std::min(cfg.m_BudgetMax * kBudgetReserveShare, cfg.m_BudgetMax - 1); // a small share still has one for anybody
+        cfg.m_MinLeft    = kMinTimeForAttempt;
         b                = std::make_unique<RetryBudget>(cfg);
     }
     return *b;
@@ -123,7 +124,7 @@
 // If one more crash would block the request, waits for the crash check of the server that it lost, so that no further server receives it meanwhile.
 awaitable<void> DirectServe::Impl::AwaitCrashCheck(Call& call) const
 {
-    if (call.m_Cause != AttemptCause_Closed || m_CrashHistory.Empty())
+    if (call.m_Cause != FailureCause_Closed || m_CrashHistory.Empty())
         co_return;
     const CrashRecord* record = m_CrashHistory.FindRecord(call.ContentHash());
     if (record == nullptr || record->UnclearedCount() + 1 < kCrashesToBlock)
@@ -138,7 +139,7 @@
 
 HttpResponse DirectServe::Impl::Refuse(Call& call, unsigned status, std::string_view why, Duration retry) const
 {
-    call.m_Why = why;
+    call.m_FailureText = why;
     return m_Protocol.OwnAnswer(call.m_Caller, status, why, retry);
 }
 
@@ -146,22 +147,22 @@
 // told 404 gives up a request that would have been served.
 HttpResponse DirectServe::Impl::Deny(Call& call, unsigned status, std::string_view why) const
 {
-    if (DeclarationsDoubted(call.m_Belief, call.m_StartedAt))
-        return Refuse(call, 503, "declarations are being fetched", kNotReadyRetry);
+    if (DeclarationsDoubted(call.m_DeclarationsAtArrival, call.m_StartedAt))
+        return Refuse(call, 503, "declarations are being fetched", kNotReadyRetryAfter);
     return Refuse(call, status, why, {});
 }
 
 std::optional<HttpResponse> DirectServe::Impl::Identify(Call& call)
 {
-    call.m_Belief = m_World.m_Belief;
-    auto decoded  = m_Protocol.DecodeRequest(call.m_Request);
+    call.m_DeclarationsAtArrival = m_World.m_Belief;
+    auto decoded                 = m_Protocol.DecodeRequest(call.m_Request);
     if (!decoded)
         return Refuse(call, 400, decoded.error().m_Message, {});
-    call.m_Caller    = std::move(decoded.value());
-    call.m_LastEvent = call.m_Caller.m_ResumeAfter;
-    call.m_Routes    = m_World.m_Routes;
+    call.m_Caller      = std::move(decoded.value());
+    call.m_LastEventId = call.m_Caller.m_ResumeAfter;
+    call.m_Routes      = m_World.m_Routes;
     if (!call.m_Routes || !m_World.m_ServersKnown)
-        return Refuse(call, 503, "declarations not known yet", kNotReadyRetry);
+        return Refuse(call, 503, "declarations not known yet", kNotReadyRetryAfter);
     call.m_Route = call.m_Routes->FindRoute(call.m_Caller.m_Host, call.m_Request.Path());
     if (call.m_Route == nullptr)
         return Deny(call, 404, "no route");
@@ -173,13 +174,13 @@
     }
     call.m_Service = call.m_Routes->FindService(PickTarget(*call.m_Route, call.m_Caller.m_Id).m_Service);
     if (call.m_Service == nullptr)
-        return Refuse(call, 503, "route names a service that isn't declared", kNotReadyRetry);
+        return Refuse(call, 503, "route names a service that isn't declared", kNotReadyRetryAfter);
     if (CheckBlocked(call, call.m_StartedAt))
-        return Refuse(call, 503, "servers crash under this request", kBlockedRetry);
+        return Refuse(call, 503, "servers crash under this request", kBlockedRetryAfter);
     const Duration  limit = std::min(call.m_Route->m_Timeout, call.m_Caller.m_Remaining.value_or(call.m_Route->m_Timeout));
     const TimePoint begun = call.m_Request.m_BegunAt != TimePoint{} ? call.m_Request.m_BegunAt : call.m_StartedAt;
     call.m_Deadline       = begun + limit; // a body that came slowly has used some of it
-    if (limit > kMinLeft && call.Left(call.m_StartedAt) < kMinLeft)
+    if (limit > kMinTimeForAttempt && call.TimeLeft(call.m_StartedAt) < kMinTimeForAttempt)
         return Refuse(call, 408, "request came too slowly for its time limit", {});
     return std::nullopt;
 }
@@ -199,14 +200,14 @@
     return out;
 }
 
-bool DirectServe::Impl::Returned(const Call& call)
+bool DirectServe::Impl::DetectRetry(const Call& call)
 {
     static Counter& first    = Metrics().GetCounter("aldervale_callers_total", "taken_for=\"first\"");
     static Counter& returned = Metrics().GetCounter("aldervale_callers_total", "taken_for=\"returned\"");
     if (!call.m_Service->m_Engine)
         return false;
     const Duration left = call.m_Caller.m_Remaining.value_or(call.m_Route->m_Timeout);
-    const bool     back = m_Returns.OnAttempt(call.m_Route->m_Timeout, left, call.m_StartedAt);
+    const bool     back = m_RetryEstimate.OnAttempt(call.m_Route->m_Timeout, left, call.m_StartedAt);
     (back ? returned : first).Add(1);
     return back;
 }
@@ -215,7 +216,7 @@
 uint64_t DirectServe::Impl::ExpectedWeights(const Call& call, TimePoint now) const
 {
     for (const WeightsDeadline& d : WeightsDeadlines(call))
-        if (now > d.m_At - kWeightsCheck)
+        if (now > d.m_At - kWeightsCheckLead)
             return call.m_Choice.m_Weights;
     return 0;
 }
@@ -224,44 +225,44 @@
 // Attempts
 //-----------------------------------------------------------------------------
 
-GivenUp DirectServe::Impl::WhyNotAgain(const Call& call, AttemptEnd end, TimePoint now) const
+NoRetryReason DirectServe::Impl::FindNoRetryReason(const Call& call, AttemptEnd end, TimePoint now) const
 {
-    if (call.Left(now) < kMinLeft)
-        return GivenUp_NoTime;
-    if (call.m_Tried.size() >= call.m_Route->m_MaxAttempts || call.m_Made > call.m_Route->m_MaxAttempts + 1)
-        return GivenUp_Attempts;
-    return end != AttemptEnd_NotRun && !call.m_Route->MayRepeat() ? GivenUp_RunsOnce : GivenUp_No;
+    if (call.TimeLeft(now) < kMinTimeForAttempt)
+        return NoRetryReason_DeadlineNear;
+    if (call.m_Tried.size() >= call.m_Route->m_MaxAttempts || call.m_AttemptCount > call.m_Route->m_MaxAttempts + 1)
+        return NoRetryReason_MaxAttempts;
+    return end != AttemptEnd_NotRun && !call.m_Route->MayRepeat() ? NoRetryReason_NotRepeatable : NoRetryReason_None;
 }
 
-bool DirectServe::Impl::TryAgain(Call& call, AttemptEnd end, TimePoint now)
+bool DirectServe::Impl::TakeRetry(Call& call, AttemptEnd end, TimePoint now)
 {
     if (end == AttemptEnd_Answered || end == AttemptEnd_CallerGone || call.m_Abort.Aborted())
         return false;
-    call.m_GivenUp = WhyNotAgain(call, end, now);
-    if (call.m_GivenUp == GivenUp_No && CheckBlocked(call, now))
-        call.m_GivenUp = GivenUp_Crashes;
-    if (call.m_GivenUp != GivenUp_No)
+    call.m_NoRetryReason = FindNoRetryReason(call, end, now);
+    if (call.m_NoRetryReason == NoRetryReason_None && CheckBlocked(call, now))
+        call.m_NoRetryReason = NoRetryReason_CrashBlocked;
+    if (call.m_NoRetryReason != NoRetryReason_None)
         return false;
     // A server that was never reached costs the service nothing; only what arrives somewhere counts against the budget.
     const bool allowed = call.m_Tried.empty() || Budget(call.m_Service->m_Name).TryTake(call.m_HeadSent);
     if (!allowed)
-        call.m_GivenUp = GivenUp_Budget;
+        call.m_NoRetryReason = NoRetryReason_Budget;
     return allowed;
 }
 
 // A budget's token is given back where no server takes the request: nothing was sent again.
-awaitable<std::optional<ServerEntry>> DirectServe::Impl::Another(Call& call, AttemptEnd end)
+awaitable<std::optional<ServerEntry>> DirectServe::Impl::FindNextServer(Call& call, AttemptEnd end)
 {
-    const bool paid    = !call.m_Tried.empty();
-    const bool allowed = TryAgain(call, end, Now());
-    call.m_LookAt      = std::max<TimePoint>(call.m_LookAt, Now() + kLookAgain);
+    const bool paid        = !call.m_Tried.empty();
+    const bool allowed     = TakeRetry(call, end, Now());
+    call.m_TryNextServerAt = std::max<TimePoint>(call.m_TryNextServerAt, Now() + kStalledSearchInterval);
     if (!allowed)
         co_return std::nullopt;
-    WithdrawLate(call, Now());
+    CancelLateAttempts(call, Now());
     std::optional<ServerEntry> server = co_await Admit(call);
     if (server)
         co_return server;
-    call.m_GivenUp = GivenUp_NoServer;
+    call.m_NoRetryReason = NoRetryReason_NoServer;
     if (paid)
         Budget(call.m_Service->m_Name).GiveBack();
     co_return std::nullopt;
@@ -269,20 +270,22 @@
 
 // A stream that has begun and has no server any more is looked for a place for as long as its caller waits: the pool that is full now has room within
 // some tenths of a second, and what the caller has would be lost. Nothing is kept waiting that hasn't begun.
-bool DirectServe::Impl::MayLookOn(const Call& call, TimePoint now) const
+bool DirectServe::Impl::MayKeepSearching(const Call& call, TimePoint now) const
 {
-    const bool refused = call.m_GivenUp == GivenUp_NoServer || call.m_GivenUp == GivenUp_Budget;
-    const bool bears   = now - call.m_EventAt < LongestPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap);
-    return refused && bears && call.m_HeadSent && call.m_Paused.empty() && call.m_Route->MayRepeat() && call.Left(now) > kMinLeft + kLookLost;
+    const bool refused = call.m_NoRetryReason == NoRetryReason_NoServer || call.m_NoRetryReason == NoRetryReason_Budget;
+    const bool bears   = now - call.m_LastEventAt < LongestPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap);
+    return refused && bears && call.m_HeadSent && call.m_StalledAttempts.empty() && call.m_Route->MayRepeat() &&
+           call.TimeLeft(now) > kMinTimeForAttempt + kLostSearchMinPause;
 }
 
-awaitable<std::optional<ServerEntry>> DirectServe::Impl::LookOn(Call& call, AttemptEnd end)
+awaitable<std::optional<ServerEntry>> DirectServe::Impl::FindNextServerWithWait(Call& call, AttemptEnd end)
 {
-    std::optional<ServerEntry> server = co_await Another(call, end);
-    for (Duration pause = kLookLost; !server && !call.m_Abort.Aborted() && MayLookOn(call, Now()); pause *= 2) // each look asks up to nine boxes
+    std::optional<ServerEntry> server = co_await FindNextServer(call, end);
+    for (Duration pause = kLostSearchMinPause; !server && !call.m_Abort.Aborted() && MayKeepSearching(call, Now());
+         pause *= 2) // each look asks up to nine boxes
     {
         co_await SleepFor(pause);
-        server = co_await Another(call, end);
+        server = co_await FindNextServer(call, end);
     }
     co_return server;
 }
@@ -290,27 +293,28 @@
 awaitable<void> DirectServe::Impl::Serve(Call& call)
 {
     Budget(call.m_Service->m_Name).OnRequest();
-    call.m_Returned                   = Returned(call);
+    call.m_LikelyRetry                = DetectRetry(call);
     AttemptEnd                 end    = AttemptEnd_NotRun;
     std::optional<ServerEntry> server = co_await Admit(call); // a copy: the directory may change while the attempt waits
     if (!server)
-        call.m_GivenUp = GivenUp_NoServer;
-    while ((server || !call.m_Paused.empty()) && !call.m_Abort.Aborted())
+        call.m_NoRetryReason = NoRetryReason_NoServer;
+    while ((server || !call.m_StalledAttempts.empty()) && !call.m_Abort.Aborted())
     {
-        call.m_Made += server ? 1 : 0;
+        call.m_AttemptCount += server ? 1 : 0;
         if (server)
             end = co_await Attempt(call, *server);
         else
-            end = co_await GoOn(call);
+            end = co_await ReadStalledAttempts(call);
         if (end == AttemptEnd_Answered || end == AttemptEnd_CallerGone)
             break;
         server.reset();
         co_await AwaitCrashCheck(call);
-        const bool look = end != AttemptEnd_Paused || Now() >= call.m_LookAt;
+        const bool look = end != AttemptEnd_Stalled || Now() >= call.m_TryNextServerAt;
         if (look)
-            server = co_await LookOn(call, end);
+            server = co_await FindNextServerWithWait(call, end);
         if (server)
-            LogEvent(Event_RequestRetried, {{"id", call.m_Caller.m_Id}, {"server", server->m_Id}, {"why", call.m_Why}, {"events", call.m_Events}});
+            LogEvent(Event_RequestRetried,
+                     {{"id", call.m_Caller.m_Id}, {"server", server->m_Id}, {"why", call.m_FailureText}, {"events", call.m_EventsSent}});
     }
     if (call.m_Abort.Aborted())
         end = AttemptEnd_CallerGone;
@@ -318,61 +322,61 @@
     {
         if (!m_CrashHistory.Empty())
             m_CrashHistory.OnAnswered(call.ContentHash());
-        call.m_Cause   = AttemptCause_None;
-        call.m_GivenUp = GivenUp_No;
+        call.m_Cause         = FailureCause_None;
+        call.m_NoRetryReason = NoRetryReason_None;
     }
-    DropPaused(call);
-    co_await Settle(call, end);
+    CancelStalledAttempts(call);
+    co_await SendFinalAnswer(call, end);
 }
 
 //-----------------------------------------------------------------------------
-// Settle
+// SendFinalAnswer
 //-----------------------------------------------------------------------------
 
-awaitable<void> DirectServe::Impl::Answer(Call& call, HttpResponse res)
+awaitable<void> DirectServe::Impl::SendAnswer(Call& call, HttpResponse res)
 {
     call.m_Status = res.m_Status;
     co_await call.m_Reply.Send(res);
 }
 
-static void LogBroken(const Call& call)
+static void LogAbortedAnswer(const Call& call)
 {
-    Metrics().GetCounter("aldervale_answers_broken_total", "cause=\"" + std::string(CauseName(call.m_Cause)) + "\"").Add(1);
+    Metrics().GetCounter("aldervale_answers_broken_total", "cause=\"" + std::string(FailureCauseName(call.m_Cause)) + "\"").Add(1);
     LogEvent(Event_AnswerBroken, {{"id", call.m_Caller.m_Id},
                                   {"server", call.m_LastServer},
-                                  {"cause", CauseName(call.m_Cause)},
-                                  {"quiet_ms", ToMs(call.m_Quiet)},
-                                  {"given_up", GivenUpName(call.m_GivenUp)},
-                                  {"events", call.m_Events},
-                                  {"left_ms", ToMs(call.Left(Now()))}});
+                                  {"cause", FailureCauseName(call.m_Cause)},
+                                  {"quiet_ms", ToMs(call.m_SilenceAtEnd)},
+                                  {"given_up", NoRetryReasonName(call.m_NoRetryReason)},
+                                  {"events", call.m_EventsSent},
+                                  {"left_ms", ToMs(call.TimeLeft(Now()))}});
 }
 
-awaitable<void> DirectServe::Impl::Settle(Call& call, AttemptEnd end)
+awaitable<void> DirectServe::Impl::SendFinalAnswer(Call& call, AttemptEnd end)
 {
     if (end == AttemptEnd_Answered || end == AttemptEnd_CallerGone)
         co_return;
     if (call.m_HeadSent)
     {
-        call.m_BrokenOff = true;
-        LogBroken(call);
+        call.m_AnswerAborted = true;
+        LogAbortedAnswer(call);
         call.m_Reply.Abort(); // the caller sees a broken answer, and may take it up after the last event
         co_return;
     }
-    if (call.m_Fault)
+    if (call.m_ServerErrorAnswer)
     {
-        co_await Answer(call, std::move(*call.m_Fault));
+        co_await SendAnswer(call, std::move(*call.m_ServerErrorAnswer));
         co_return;
     }
     if (call.m_MayHaveRun)
     {
-        const unsigned     status = call.Left(Now()) < kMinLeft ? 504 : 502;
-        const HttpResponse res    = m_Protocol.OwnAnswer(call.m_Caller, status, call.m_Why, {});
-        co_await Answer(call, res);
+        const unsigned     status = call.TimeLeft(Now()) < kMinTimeForAttempt ? 504 : 502;
+        const HttpResponse res    = m_Protocol.OwnAnswer(call.m_Caller, status, call.m_FailureText, {});
+        co_await SendAnswer(call, res);
         co_return;
     }
-    const Duration     retry = call.m_Choice.m_RetryAfter > Duration::zero() ? call.m_Choice.m_RetryAfter : Duration(kNotReadyRetry);
-    const HttpResponse res   = m_Protocol.OwnAnswer(call.m_Caller, 503, call.m_Why, retry);
-    co_await Answer(call, res);
+    const Duration     retry = call.m_Choice.m_RetryAfter > Duration::zero() ? call.m_Choice.m_RetryAfter : Duration(kNotReadyRetryAfter);
+    const HttpResponse res   = m_Protocol.OwnAnswer(call.m_Caller, 503, call.m_FailureText, retry);
+    co_await SendAnswer(call, res);
 }
 
 static boost::json::array TriedIds(const Call& call)
@@ -386,40 +390,40 @@
 static void LogCall(const Call& call, const RoutingWorld& world, TimePoint now)
 {
     const auto             ms      = [](Duration d) { return d == Duration::max() ? -1 : ToMs(d); };
-    const std::string_view verdict = call.m_MayHaveRun || call.m_Events > 0 || call.m_Status == 200 ? "may-have-run" : "not-run";
+    const std::string_view verdict = call.m_MayHaveRun || call.m_EventsSent > 0 || call.m_Status == 200 ? "may-have-run" : "not-run";
     LogEvent(Event_RequestSettled, {{"id", call.m_Caller.m_Id},
                                     {"route", call.m_Route != nullptr ? call.m_Route->m_Name : std::string()},
                                     {"account", call.m_Account != nullptr ? call.m_Account->m_Name : std::string()},
                                     {"declared", call.m_Routes ? call.m_Routes->Version() : 0},
                                     {"declared_age_ms", call.m_Routes ? ms(now - world.m_RoutesAt) : -1},
-                                    {"row", call.m_Belief.m_Held},
-                                    {"row_heard", call.m_Belief.m_Heard},
-                                    {"checked_age_ms", AgeOrNever(call.m_Belief.m_CheckedAt, call.m_StartedAt)},
+                                    {"row", call.m_DeclarationsAtArrival.m_Held},
+                                    {"row_heard", call.m_DeclarationsAtArrival.m_Heard},
+                                    {"checked_age_ms", AgeOrNever(call.m_DeclarationsAtArrival.m_CheckedAt, call.m_StartedAt)},
                                     {"status", call.m_Status},
                                     {"verdict", verdict},
-                                    {"why", call.m_Why},
-                                    {"cause", CauseName(call.m_Cause)},
-                                    {"given_up", GivenUpName(call.m_GivenUp)},
-                                    {"quiet_ms", ms(call.m_Quiet)},
-                                    {"broken_off", call.m_BrokenOff},
-                                    {"pauses", call.m_Pauses},
+                                    {"why", call.m_FailureText},
+                                    {"cause", FailureCauseName(call.m_Cause)},
+                                    {"given_up", NoRetryReasonName(call.m_NoRetryReason)},
+                                    {"quiet_ms", ms(call.m_SilenceAtEnd)},
+                                    {"broken_off", call.m_AnswerAborted},
+                                    {"pauses", call.m_StallCount},
                                     {"servers", TriedIds(call)},
                                     {"predicted_ms", ms(call.m_Choice.m_Predicted)},
                                     {"report_age_ms", ms(call.m_Choice.m_ReportAge)},
                                     {"in_flight", call.m_Choice.m_InFlight},
                                     {"candidates", call.m_Choice.m_Candidates},
-                                    {"boxes_asked", call.m_Asked},
-                                    {"boxes_answered", call.m_Answered},
-                                    {"ask_ms", ToMsReal(call.m_AskTook)},
-                                    {"boxes_claimed", call.m_Claimed},
-                                    {"granted", call.m_Granted},
-                                    {"claim_ms", ToMsReal(call.m_ClaimTook)},
+                                    {"boxes_asked", call.m_BoxesAsked},
+                                    {"boxes_answered", call.m_BoxesAnswered},
+                                    {"ask_ms", ToMsReal(call.m_AskDuration)},
+                                    {"boxes_claimed", call.m_BoxesClaimed},
+                                    {"granted", call.m_ClaimGranted},
+                                    {"claim_ms", ToMsReal(call.m_ClaimDuration)},
                                     {"goal_ms", call.m_Route != nullptr ? ToMs(call.m_Route->m_Goal) : -1},
-                                    {"came_back", call.m_CameBack},
+                                    {"came_back", call.m_AdmittedAsRetry},
                                     {"prompt", call.m_Caller.m_Prompt},
-                                    {"events", call.m_Events},
-                                    {"first_ms", call.m_FirstAt == TimePoint{} ? -1 : ToMs(call.m_FirstAt - call.m_StartedAt)},
-                                    {"gap_ms", ms(call.m_WorstGap)},
+                                    {"events", call.m_EventsSent},
+                                    {"first_ms", call.m_FirstByteAt == TimePoint{} ? -1 : ToMs(call.m_FirstByteAt - call.m_StartedAt)},
+                                    {"gap_ms", ms(call.m_LongestSentGap)},
                                     {"ms", ms(now - call.m_StartedAt)}});
 }
 
@@ -433,13 +437,13 @@
     static Counter&         failed  = OutcomeCounter("failed");
     static Counter&         gone    = OutcomeCounter("caller_gone");
     whole.Record(ToSeconds(now - call.m_StartedAt));
-    if (call.m_FirstAt != TimePoint{})
-        first.Record(ToSeconds(call.m_FirstAt - call.m_StartedAt));
-    Counter& c = call.m_Abort.Aborted()                                           ? gone
-                 : call.m_Status == 503                                           ? refused
-                 : call.m_Status >= 400 && call.m_Status < 500                    ? denied
-                 : call.m_Status >= 500 || call.m_Status == 0 || call.m_BrokenOff ? failed
-                                                                                  : ok;
+    if (call.m_FirstByteAt != TimePoint{})
+        first.Record(ToSeconds(call.m_FirstByteAt - call.m_StartedAt));
+    Counter& c = call.m_Abort.Aborted()                                               ? gone
+                 : call.m_Status == 503                                               ? refused
+                 : call.m_Status >= 400 && call.m_Status < 500                        ? denied
+                 : call.m_Status >= 500 || call.m_Status == 0 || call.m_AnswerAborted ? failed
+                                                                                      : ok;
     c.Add(1);
 }
 
@@ -452,10 +456,10 @@
 {
 }
 
-void DirectServe::AskBoxes(PlaceChannel& places, uint16_t port)
+void DirectServe::UsePlaceChannel(PlaceChannel& places, uint16_t port)
 {
-    m_Impl->m_Places  = &places;
-    m_Impl->m_BoxPort = port;
+    m_Impl->m_PlaceChannel = &places;
+    m_Impl->m_PlacePort    = port;
 }
 
 DirectServe::~DirectServe() = default;
@@ -468,7 +472,7 @@
     impl->m_InFlight++;
     std::optional<HttpResponse> answer = impl->Identify(call);
     if (answer)
-        co_await impl->Answer(call, std::move(*answer));
+        co_await impl->SendAnswer(call, std::move(*answer));
     else
     {
         reply.OnCallerGone([&call] { call.m_Abort.Abort(); });
--- a/src/request/direct_serve.h
+++ b/src/request/direct_serve.h
@@ -63,7 +63,7 @@
     DirectServe(Daemon& daemon, const DirectServeSettings& s, RoutingWorld& world, const RequestProtocol& protocol);
     ~DirectServe();
 
-    void            AskBoxes(PlaceChannel& places, uint16_t port); // of model servers, at that port; without it reports alone decide
+    void            UsePlaceChannel(PlaceChannel& places, uint16_t port); // of model servers, at that port; without it reports alone decide
     awaitable<void> Handle(HttpRequest& req, HttpReply& reply);
     void            OnReport(const asio::ip::address& box, const LoadReport& report); // from the agent of the model server at that IP number
     void            OnServersChanged();
--- a/src/request/event_splitter.h
+++ b/src/request/event_splitter.h
@@ -27,7 +27,7 @@
 public:
     void                       Feed(std::string_view bytes) { m_Buf.append(bytes); }
     std::optional<StreamEvent> Next();
-    size_t                     Left() const { return m_Buf.size() - m_Head; } // bytes of an event that isn't whole
+    size_t                     PendingBytes() const { return m_Buf.size() - m_Head; } // bytes of an event that isn't whole
 
 private:
     std::string m_Buf;      // bytes not yet returned, from m_Head on
--- a/src/request/router_serve.cpp
+++ b/src/request/router_serve.cpp
@@ -14,13 +14,13 @@
 namespace
 {
 
-constexpr auto     kCallerPoll   = milliseconds(100); // how often a waiting request looks whether its caller left
-constexpr uint32_t kRetryAfterMs = 1000;              // told to callers when nothing better is known
-constexpr size_t   kBufferMax    = 1024 * 1024;       // answers up to this are sent whole, with a length
-constexpr uint32_t kKeyedProbeMs = 1000;              // deadline of a probe
-constexpr auto     kDemandWindow = milliseconds(250); // how often demand is measured
-constexpr auto     kDemandRepeat = seconds(3);        // unchanged demand is told again after this
-constexpr double   kDemandChange = 0.1;               // share of change that is told at once
+constexpr auto     kCallerGonePoll       = milliseconds(100); // how often a waiting request looks whether its caller left
+constexpr uint32_t kRetryAfterMs         = 1000;              // sent to callers when nothing better is known
+constexpr size_t   kBufferMaxBytes       = 1024 * 1024;       // answers up to this are sent whole, with a length
+constexpr uint32_t kProbeDeadlineMs      = 1000;              // deadline of a probe
+constexpr auto     kDemandWindow         = milliseconds(250); // how often demand is measured
+constexpr auto     kDemandResendInterval = seconds(3);        // unchanged demand is sent again after this
+constexpr double   kDemandChangeShare    = 0.1;               // share of change that is sent at once
 
 using Fields = std::vector<std::unique_ptr<wire::FieldT>>;
 
@@ -74,7 +74,7 @@
          "cost; the others are baselines for measurements"},
         {"route.choices", SettingInt{&s.m_Choices, 1, 64}, "random candidates compared per request"},
         {"route.warm_bonus", SettingReal{&s.m_WarmBonus, 0, 1000}, "requests' worth of a warm prefix"},
-        {"route.per_replica", SettingInt{&s.m_PerReplica, 1, 10'000}, "requests at one replica over all routers before they wait here"},
+        {"route.per_replica", SettingInt{&s.m_RequestsPerReplica, 1, 10'000}, "requests at one replica over all routers before they wait here"},
         {"queue.max_waiting", SettingInt{&s.m_MaxWaiting, 1, 1'000'000}, "requests that wait here at most"},
         {"retry.max_attempts", SettingInt{&s.m_MaxAttempts, 1, 10}, "attempts of one request, the first included"},
         {"serve.window_kib", SettingInt{&s.m_WindowKib, 4, 65'536}, "answer bytes under way per request, KiB"},
@@ -146,17 +146,17 @@
     std::optional<Error>            Identify(RequestState& st) const;
     awaitable<void>                 Serve(RequestState& st);
     awaitable<void>                 ServeKeyed(RequestState& st, const Error* refused);
-    awaitable<void>                 ServeOpen(RequestState& st);
+    awaitable<void>                 ServeRepeatable(RequestState& st);
     awaitable<AttemptResult>        Attempt(RequestState& st, const Chosen& to, wire::ServeCallT& call);
     awaitable<AttemptResult>        Relay(RequestState& st, const LinkPtr& link, const MailboxPtr& box);
-    awaitable<std::optional<Error>> Enter(RequestState& st);
-    void                            Leave(const std::string& service);
+    awaitable<std::optional<Error>> EnterQueue(RequestState& st);
+    void                            LeaveQueue(const std::string& service);
     void                            GrantNext(const std::string& service);
     size_t                          Capacity(const std::string& service) const;
     ReplicaQuery                    MakeQuery(const RequestState& st) const;
     wire::ServeCallT                MakeCall(const RequestState& st, const ReplicaQuery& q) const;
-    awaitable<void>                 Fail(RequestState& st, const Error& e);
-    void                            Account(RequestState& st);
+    awaitable<void>                 SendError(RequestState& st, const Error& e);
+    void                            RecordUsage(RequestState& st);
     awaitable<void>                 DemandLoop();
 
     struct ServiceQueue
@@ -237,11 +237,11 @@
         q.m_Boxes.insert(it->second.m_Spec.m_Boxes.begin(), it->second.m_Spec.m_Boxes.end());
     const size_t replicas = m_Replicas.CountUsable(q, [this](const std::string& box) { return m_Node.Usable(box); });
     const size_t routers  = 1 + m_Node.Links(wire::PeerRole::Router).size();
-    return std::max<size_t>(4, replicas * static_cast<size_t>(m_Settings.m_PerReplica) * 5 / 4 / routers);
+    return std::max<size_t>(4, replicas * static_cast<size_t>(m_Settings.m_RequestsPerReplica) * 5 / 4 / routers);
 }
 
 // Waits for room. An error means that nothing was sent to anybody.
-awaitable<std::optional<Error>> RouterServe::Impl::Enter(RequestState& st)
+awaitable<std::optional<Error>> RouterServe::Impl::EnterQueue(RequestState& st)
 {
     WaiterPtr  waiter;
     uint64_t   id      = 0;
@@ -275,7 +275,7 @@
     GrantNext(st.m_ServiceName);
     while (!waiter->m_Granted.load() && Now() < st.m_Deadline && !st.m_Reply.CallerGone())
     {
-        waiter->m_Timer.expires_at(std::min(st.m_Deadline, Now() + kCallerPoll));
+        waiter->m_Timer.expires_at(std::min(st.m_Deadline, Now() + kCallerGonePoll));
         co_await waiter->m_Timer.async_wait(asio::as_tuple(use_awaitable));
     }
     std::lock_guard lock(m_QueueMutex);
@@ -306,7 +306,7 @@
     }
 }
 
-void RouterServe::Impl::Leave(const std::string& service)
+void RouterServe::Impl::LeaveQueue(const std::string& service)
 {
     {
         std::lock_guard lock(m_QueueMutex);
@@ -397,12 +397,12 @@
 {
     AttemptResult result;
     HttpResponse  res;
-    uint64_t      received  = 0;
-    bool          streaming = false;
-    bool          headed    = false;
+    uint64_t      received      = 0;
+    bool          streaming     = false;
+    bool          head_received = false;
     for (;;)
     {
-        const std::optional<FrameBuf> frame = co_await box->Pop(std::min(st.m_Deadline, Now() + kCallerPoll));
+        const std::optional<FrameBuf> frame = co_await box->Pop(std::min(st.m_Deadline, Now() + kCallerGonePoll));
         if (!frame)
         {
             const bool gone = st.m_Reply.CallerGone();
@@ -418,9 +418,9 @@
         const wire::Frame& f = *frame->Get();
         if (const wire::ServeHead* head = f.body_as_ServeHead())
         {
-            headed       = true;
-            res.m_Status = head->status();
-            res.m_Fields = ToFields(head->fields());
+            head_received = true;
+            res.m_Status  = head->status();
+            res.m_Fields  = ToFields(head->fields());
             if (head->replayed())
                 res.m_Fields.push_back({"Aldervale-Replayed", "true"});
             streaming = IsEventStream(res.m_Fields);
@@ -439,7 +439,7 @@
         }
         if (const wire::ServeData* data = f.body_as_ServeData())
         {
-            if (!headed || data->bytes() == nullptr)
+            if (!head_received || data->bytes() == nullptr)
                 continue;
             const std::string_view bytes(reinterpret_cast<const char*>(data->bytes()->data()), data->bytes()->size());
             received += bytes.size();
@@ -448,7 +448,7 @@
             st.m_Record.m_TokensOut += streaming ? CountEvents(bytes) : 0;
             if (!streaming)
                 res.m_Body.append(bytes);
-            if (res.m_Body.size() > kBufferMax)
+            if (res.m_Body.size() > kBufferMaxBytes)
             {
                 streaming  = true;
                 st.m_Begun = true;
@@ -472,7 +472,7 @@
         const wire::ServeEnd* end = f.body_as_ServeEnd();
         if (end == nullptr)
             continue;
-        if (!end->complete() || !headed || end->length() != received)
+        if (!end->complete() || !head_received || end->length() != received)
         {
             const std::string reason = end->reason() != nullptr ? end->reason()->str() : "answer is not whole";
             const ErrorCode   code   = end->error() != nullptr ? ParseErrorCode(end->error()->string_view()) : ErrorCode_Corrupt;
@@ -497,7 +497,7 @@
     }
 }
 
-awaitable<void> RouterServe::Impl::Fail(RequestState& st, const Error& e)
+awaitable<void> RouterServe::Impl::SendError(RequestState& st, const Error& e)
 {
     st.m_Record.m_Verdict = e.m_Verdict;
     if (st.m_Begun)
@@ -506,16 +506,16 @@
         st.m_Reply.Abort();
         co_return;
     }
-    Error told = e;
-    if (told.m_RetryAfterMs == 0 && (e.m_Code == ErrorCode_Unavailable || e.m_Code == ErrorCode_Limited))
-        told.m_RetryAfterMs = kRetryAfterMs;
+    Error sent = e;
+    if (sent.m_RetryAfterMs == 0 && (e.m_Code == ErrorCode_Unavailable || e.m_Code == ErrorCode_Limited))
+        sent.m_RetryAfterMs = kRetryAfterMs;
     if (e.m_Code == ErrorCode_Stale)
-        told.m_Code = ErrorCode_Unavailable; // a matter between router and agent, not the caller's conflict
-    HttpResponse res = ErrorResponse(told);
+        sent.m_Code = ErrorCode_Unavailable; // a matter between router and agent, not the caller's conflict
+    HttpResponse res = ErrorResponse(sent);
     co_await st.m_Reply.Send(res);
 }
 
-awaitable<void> RouterServe::Impl::ServeOpen(RequestState& st)
+awaitable<void> RouterServe::Impl::ServeRepeatable(RequestState& st)
 {
     ReplicaQuery  q = MakeQuery(st);
     AttemptResult last;
@@ -542,7 +542,7 @@
             break;
         LogEvent(Event_RequestRetried, {{"service", st.m_ServiceName}, {"box", to->m_Box}, {"reason", last.m_Error.m_Message}});
     }
-    co_await Fail(st, last.m_Error);
+    co_await SendError(st, last.m_Error);
 }
 
 // `refused`: this call is refused here; the home is only asked what became of the key.
@@ -554,13 +554,13 @@
     {
         const Error lost = MakeError(ErrorCode_Unavailable, "the key's home " + home + " can't be reached; repeat the call with the same key", {},
                                      Verdict_MayHaveRun);
-        co_await Fail(st, lost);
+        co_await SendError(st, lost);
         co_return;
     }
     wire::ServeCallT call = MakeCall(st, ReplicaQuery{});
     call.probe            = refused != nullptr;
     if (call.probe)
-        call.deadline_ms = std::min(call.deadline_ms, kKeyedProbeMs);
+        call.deadline_ms = std::min(call.deadline_ms, kProbeDeadlineMs);
     AttemptResult result = co_await Attempt(st, *to, call);
     m_Replicas.OnEnd(to->m_Box, !result.m_Done, Now());
     if (result.m_Done)
@@ -569,9 +569,9 @@
         co_return;
     }
     if (refused != nullptr && result.m_Error.m_Verdict == Verdict_NotRun)
-        co_await Fail(st, *refused);
+        co_await SendError(st, *refused);
     else
-        co_await Fail(st, result.m_Error);
+        co_await SendError(st, result.m_Error);
 }
 
 awaitable<void> RouterServe::Impl::Serve(RequestState& st)
@@ -579,7 +579,7 @@
     std::optional<Error> refused = Identify(st);
     if (refused)
     {
-        co_await Fail(st, *refused); // nothing with this key and these credentials can have run
+        co_await SendError(st, *refused); // nothing with this key and these credentials can have run
         co_return;
     }
     if (!m_Ready())
@@ -593,25 +593,25 @@
     }
     if (!refused)
     {
-        refused = co_await Enter(st);
+        refused = co_await EnterQueue(st);
         if (!refused)
         {
             m_Budget.OnRequest();
             if (st.m_Keyed)
                 co_await ServeKeyed(st, nullptr);
             else
-                co_await ServeOpen(st);
-            Leave(st.m_ServiceName);
+                co_await ServeRepeatable(st);
+            LeaveQueue(st.m_ServiceName);
             co_return;
         }
     }
     if (st.m_Keyed)
         co_await ServeKeyed(st, &*refused);
     else
-        co_await Fail(st, *refused);
+        co_await SendError(st, *refused);
 }
 
-void RouterServe::Impl::Account(RequestState& st)
+void RouterServe::Impl::RecordUsage(RequestState& st)
 {
     static HistogramMetric& all     = Metrics().GetHistogram("aldervale_request_seconds");
     static HistogramMetric& first   = Metrics().GetHistogram("aldervale_first_byte_seconds");
@@ -625,19 +625,19 @@
         first.Record(ToSeconds(st.m_FirstByte - st.m_Started));
     if (st.m_Service == nullptr)
         return;
-    const TimePoint felt  = st.m_FirstByte != TimePoint{} && st.m_Begun ? st.m_FirstByte : now;
-    st.m_Record.m_Service = st.m_ServiceName;
-    st.m_Record.m_Account = st.m_AccountName;
-    st.m_Record.m_BytesIn = st.m_Req.m_Body.size();
-    st.m_Record.m_Good    = st.m_Record.m_Verdict == Verdict_Ran && ToSeconds(felt - st.m_Started) * 1000 <= st.m_Service->m_SloMs;
+    const TimePoint answered_at = st.m_FirstByte != TimePoint{} && st.m_Begun ? st.m_FirstByte : now;
+    st.m_Record.m_Service       = st.m_ServiceName;
+    st.m_Record.m_Account       = st.m_AccountName;
+    st.m_Record.m_BytesIn       = st.m_Req.m_Body.size();
+    st.m_Record.m_Good          = st.m_Record.m_Verdict == Verdict_Ran && ToSeconds(answered_at - st.m_Started) * 1000 <= st.m_Service->m_SloMs;
     m_Usage.Record(st.m_Record, now);
 }
 
 // Tells the other routers when demand has changed by more than a tenth somewhere, and now and then all the same.
 awaitable<void> RouterServe::Impl::DemandLoop()
 {
-    std::map<std::string, double> told;
-    TimePoint                     told_at{};
+    std::map<std::string, double> sent;
+    TimePoint                     sent_at{};
     for (;;)
     {
         co_await SleepFor(kDemandWindow);
@@ -653,14 +653,14 @@
             now[r.m_Account] = r.m_Rate;
             msg.accounts.push_back(std::move(a));
         }
-        bool changed = now.size() != told.size();
+        bool changed = now.size() != sent.size();
         for (const auto& [account, rate] : now)
-            changed = changed || std::abs(rate - told[account]) > kDemandChange * std::max(1.0, told[account]);
-        const bool due = !now.empty() && Now() - told_at > kDemandRepeat;
+            changed = changed || std::abs(rate - sent[account]) > kDemandChangeShare * std::max(1.0, sent[account]);
+        const bool due = !now.empty() && Now() - sent_at > kDemandResendInterval;
         if (!changed && !due)
             continue;
-        told                   = now;
-        told_at                = Now();
+        sent                   = now;
+        sent_at                = Now();
         const FrameBytes frame = EncodeFrame(0, msg);
         for (const LinkPtr& link : m_Node.Links(wire::PeerRole::Router))
             link->Send(frame);
@@ -687,7 +687,7 @@
     RequestState st{req, reply, m_Impl->m_Node.Config(), {}, nullptr, {}, nullptr, {}, false, Now(), {}, {}, false, {}};
     m_Impl->m_InFlight.fetch_add(1);
     co_await m_Impl->Serve(st);
-    m_Impl->Account(st);
+    m_Impl->RecordUsage(st);
     m_Impl->m_InFlight.fetch_sub(1);
 }
 
--- a/src/request/router_serve.h
+++ b/src/request/router_serve.h
@@ -29,13 +29,13 @@
 
 struct RouterServeSettings
 {
-    std::string m_Policy      = "cost"; // [route.policy]
-    int64_t     m_Choices     = 2;      // [route.choices]
-    double      m_WarmBonus   = 6.0;    // [route.warm_bonus]
-    int64_t     m_PerReplica  = 16;     // requests at one replica over all routers [route.per_replica]
-    int64_t     m_MaxWaiting  = 2000;   // [queue.max_waiting]
-    int64_t     m_MaxAttempts = 3;      // [retry.max_attempts]
-    int64_t     m_WindowKib   = 256;    // answer bytes under way per request [serve.window_kib]
+    std::string m_Policy             = "cost"; // [route.policy]
+    int64_t     m_Choices            = 2;      // [route.choices]
+    double      m_WarmBonus          = 6.0;    // [route.warm_bonus]
+    int64_t     m_RequestsPerReplica = 16;     // requests at one replica over all routers [route.per_replica]
+    int64_t     m_MaxWaiting         = 2000;   // [queue.max_waiting]
+    int64_t     m_MaxAttempts        = 3;      // [retry.max_attempts]
+    int64_t     m_WindowKib          = 256;    // answer bytes under way per request [serve.window_kib]
 };
 
 std::vector<SettingSpec> DescribeRouterServe(RouterServeSettings& s);
--- a/tests/test_routes.cpp
+++ b/tests/test_routes.cpp
@@ -90,12 +90,12 @@
     BOOST_TEST(events[0].m_Id == "1");
     BOOST_TEST(events[0].m_Bytes == "id: 1\ndata: a\n\n");
     BOOST_TEST(events[1].m_Id == "2");
-    BOOST_TEST(s.Left() > 0u);
+    BOOST_TEST(s.PendingBytes() > 0u);
     s.Feed("ta: c\n\n");
     const auto rest = All(s);
     BOOST_REQUIRE(rest.size() == 1u);
     BOOST_TEST(rest[0].m_Id == "4");
-    BOOST_TEST(s.Left() == 0u);
+    BOOST_TEST(s.PendingBytes() == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(properties_of_event_streams)
@@ -126,6 +126,6 @@
                                }
                            }
                            RC_ASSERT(out == text);
-                           RC_ASSERT(s.Left() == part.size());
+                           RC_ASSERT(s.PendingBytes() == part.size());
                        });
 }
