--- a/src/request/agent_serve.cpp
+++ b/src/request/agent_serve.cpp
@@ -1,4 +1,7 @@
 // Requests on one box. See agent_serve.h.
+//
+// The home of a key is the one box that may run a keyed call. Its horizon is the time before which it has no record of keys: a key minted earlier may
+// have run unnoticed.
 #include "request/agent_serve.h"
 #include "common/log.h"
 #include "common/metrics.h"
@@ -11,8 +14,8 @@
 namespace
 {
 
-constexpr size_t kStoredBodyMaxBytes = 256 * 1024;      // a keyed answer longer than this can't be replayed
-constexpr auto   kRunningKeyPoll     = milliseconds(5); // how often a repeated key looks whether the first one has ended
+constexpr size_t kStoredBodyMaxBytes = 256 * 1024;      // longer answers of keyed calls aren't stored and can't be replayed
+constexpr auto   kRunningKeyPoll     = milliseconds(5); // interval at which a repeated call checks whether the first one has ended
 constexpr auto   kCreditWait         = milliseconds(100);
 
 } // namespace
@@ -27,16 +30,16 @@
     };
 }
 
-// One call on its way through this agent.
+// One call under way on this agent.
 struct ServedCall
 {
     LinkPtr              m_Link;             //
     uint64_t             m_Exchange = 0;     //
     wire::ServeCallT     m_Call;             //
     TimePoint            m_Deadline{};       //
-    std::atomic<int64_t> m_Credit{0};        // bytes that may still be sent
-    std::atomic<bool>    m_Cancelled{false}; // the router no longer wants the answer; never goes back
-    uint64_t             m_Sent = 0;         // bytes of body sent
+    std::atomic<int64_t> m_Credit{0};        // bytes that the router's flow control still permits to send
+    std::atomic<bool>    m_Cancelled{false}; // the router cancelled the call; never reset
+    uint64_t             m_Sent = 0;         // body bytes sent to the router
 };
 using ServedCallPtr = std::shared_ptr<ServedCall>;
 
@@ -67,16 +70,16 @@
     Daemon&               m_Daemon;          //
     ServeSettings         m_Settings;        //
     Node&                 m_Node;            //
-    AgentWeights*         m_Weights;         // null on boxes of plain services
+    AgentWeights*         m_Weights;         // null on boxes without a model server
     Engine&               m_Engine;          //
     KeyJournal            m_Journal;         //
-    std::atomic<bool>     m_Draining{false}; // the process stops; never goes back
-    std::atomic<bool>     m_Drained{false};  // the declared Box is drained
+    std::atomic<bool>     m_Draining{false}; // the process is stopping; never reset
+    std::atomic<bool>     m_Drained{false};  // the box is declared as drained
     std::atomic<uint64_t> m_InFlight{0};     //
 
     mutable std::mutex                                        m_Mutex;        // guards the members below
     std::map<std::pair<const Link*, uint64_t>, ServedCallPtr> m_Calls;        // running calls
-    std::set<std::string>                                     m_HomeServices; // services that this box was a home of
+    std::set<std::string>                                     m_HomeServices; // services that this box can be a home for
 };
 
 ServedCallPtr AgentServe::Impl::Find(const LinkPtr& link, uint64_t exchange) const
@@ -150,7 +153,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// Calls that may be repeated
+// Repeatable calls
 //-----------------------------------------------------------------------------
 
 awaitable<void> AgentServe::Impl::RunRepeatable(ServedCallPtr call)
@@ -162,7 +165,7 @@
     }
     if (m_InFlight.load() > static_cast<uint64_t>(m_Settings.m_MaxInFlight))
     {
-        Refuse(*call, MakeError(ErrorCode_Limited, "box is at its bound"));
+        Refuse(*call, MakeError(ErrorCode_Limited, "box has reached its maximum of concurrent calls"));
         co_return;
     }
     const bool gated = !call->m_Call.digest.empty();
@@ -209,7 +212,7 @@
         field->value = f.m_Value;
         head.fields.push_back(std::move(field));
     }
-    // A backend server that says so itself has not run the call: 429 and 503 with its own mark.
+    // A backend server may report itself that it did not run the call: 429 or 503 with Aldervale-Verdict.
     const bool refused = FindField(stream->Head().m_Fields, "Aldervale-Verdict") == VerdictName(Verdict_NotRun);
     if (refused)
     {
@@ -227,11 +230,11 @@
         }
         if (piece.value().m_Done)
             break;
-        const bool go = co_await WaitCredit(call);
-        if (!go)
+        const bool may_send = co_await WaitCredit(call);
+        if (!may_send)
         {
             Refuse(*call, MakeError(ErrorCode_Timeout, "answer cancelled", {}, Verdict_MayHaveRun));
-            co_return; // dropping the stream closes the connection, which cancels the work in the backend server
+            co_return; // closing the connection cancels the work in the backend server
         }
         const std::string_view bytes = piece.value().m_Bytes;
         call->m_Link->Send(EncodeServeData(call->m_Exchange, bytes));
@@ -244,7 +247,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// Calls that may not be repeated
+// Keyed calls, which may run only once
 //-----------------------------------------------------------------------------
 
 std::optional<Error> AgentServe::Impl::CheckHome(const ServedCall& call, bool* retired) const
@@ -253,7 +256,7 @@
     const std::string& self = m_Daemon.Settings().m_Name;
     const auto         it   = c->m_Services.find(call.m_Call.service);
     if (it == c->m_Services.end())
-        return MakeError(ErrorCode_Stale, "this box doesn't know the service yet", {}, Verdict_MayHaveRun);
+        return MakeError(ErrorCode_Stale, "this box has no declaration of the service yet", {}, Verdict_MayHaveRun);
     const ServiceSpec& s = it->second.m_Spec;
     if (HomesEpoch(s) != call.m_Call.homes_epoch || HomeOf(s, call.m_Call.key) != self)
         return MakeError(ErrorCode_Stale, "this box is not the key's home", {}, Verdict_MayHaveRun);
@@ -272,13 +275,13 @@
     switch (t)
     {
     case JournalType_TooOld:
-        return MakeError(ErrorCode_Stale, "key is older than this home's memory", "Idempotency-Key", Verdict_MayHaveRun);
+        return MakeError(ErrorCode_Stale, "key is older than the records of its home", "Idempotency-Key", Verdict_MayHaveRun);
     case JournalType_FromFuture:
         return MakeError(ErrorCode_Invalid, "key was minted in the future", "Idempotency-Key");
     case JournalType_Mismatch:
         return MakeError(ErrorCode_Invalid, "key was used for another call", "Idempotency-Key");
     case JournalType_Refused:
-        return MakeError(ErrorCode_Unavailable, "home takes no new keys now");
+        return MakeError(ErrorCode_Unavailable, "home accepts no new keys now");
     default:
         return MakeError(ErrorCode_Invalid, "expected a UUIDv7", "Idempotency-Key");
     }
@@ -286,11 +289,11 @@
 
 awaitable<void> AgentServe::Impl::RunKeyed(ServedCallPtr call)
 {
-    bool                       retired = false;
-    const std::optional<Error> wrong   = CheckHome(*call, &retired);
-    if (wrong)
+    bool                       retired  = false;
+    const std::optional<Error> not_home = CheckHome(*call, &retired);
+    if (not_home)
     {
-        Refuse(*call, *wrong);
+        Refuse(*call, *not_home);
         co_return;
     }
     const std::string scope  = JournalScope(*call);
@@ -332,7 +335,7 @@
     m_Journal.Finish(scope, call->m_Call.key, std::move(result));
 }
 
-// Runs to its end whether or not the router still listens: the outcome belongs into the journal.
+// Runs to completion even after the router cancelled or disconnected, because the outcome must be recorded in the journal.
 awaitable<StoredResult> AgentServe::Impl::CallWhole(ServedCallPtr call, bool* not_run)
 {
     StoredResult      result;
@@ -427,7 +430,7 @@
             call->m_Cancelled.store(true);
 }
 
-// A box that becomes a home can't vouch for keys that ran at the former one: they count as older than its memory.
+// A box that becomes a home has no record of keys that ran at the former one, so its horizon is raised: earlier keys are answered MayHaveRun.
 void AgentServe::OnConfig(const ConfigPtr& c)
 {
     const std::string& self    = m_Impl->m_Daemon.Settings().m_Name;
--- a/src/request/agent_serve.h
+++ b/src/request/agent_serve.h
@@ -1,7 +1,7 @@
-// aldervale: requests on one box: refuses or hands over to the backend server, streams the answer back, journals keyed calls
+// aldervale: requests on one box: refuses them or sends them to the backend server, streams the answer back, keeps a journal of keyed calls
 //
-// The only place that may say "not run" after a call has left the router: every refusal here comes before the hand-over. Once a byte
-// has gone to the backend server the verdict is Ran (it answered) or MayHaveRun.
+// After a call has left the router, only this part may give the verdict "not run": every refusal here comes before the call is sent to the backend
+// server. Once a byte was sent to it the verdict is Ran (it answered) or MayHaveRun, unless the server itself reports that it didn't run the call.
 //
 // Usage (src/programs/agent.cpp):
 //   AgentServe serve(daemon, settings, node, weights_or_null, engine);
@@ -18,10 +18,10 @@
 
 struct ServeSettings
 {
-    int64_t m_MaxInFlight = 256;     // calls at the backend server at once; more are refused as not run [serve.max_in_flight]
-    int64_t m_SkewMs      = 2000;    // [journal.skew_ms]
-    int64_t m_JournalMax  = 200'000; // entries [journal.max_entries]
-    int64_t m_JournalMib  = 16;      // bodies, MiB [journal.max_mib]
+    int64_t m_MaxInFlight = 256;     // concurrent calls at the backend server; more are refused as not run [serve.max_in_flight]
+    int64_t m_SkewMs      = 2000;    // largest clock difference between any two boxes, ms [journal.skew_ms]
+    int64_t m_JournalMax  = 200'000; // keys kept [journal.max_entries]
+    int64_t m_JournalMib  = 16;      // stored answer bodies, MiB [journal.max_mib]
 };
 
 std::vector<SettingSpec> DescribeServe(ServeSettings& s);
@@ -32,12 +32,12 @@
     AgentServe(Daemon& daemon, const ServeSettings& s, Node& node, AgentWeights* weights, Engine& engine);
     ~AgentServe();
 
-    bool     OnFrame(const LinkPtr& link, const FrameBuf& frame); // false: not about requests
+    bool     OnFrame(const LinkPtr& link, const FrameBuf& frame); // false: not a frame of this part
     void     OnLinkDown(const LinkPtr& link);
     void     OnConfig(const ConfigPtr& c);
-    void     BeginDrain(); // refuse new work from now on
-    bool     IsLeaving() const;
-    uint64_t InFlight() const; // calls accepted and not ended
+    void     BeginDrain();      // refuses new calls from now on
+    bool     IsLeaving() const; // draining, or declared as drained
+    uint64_t InFlight() const;  // calls received and not ended
     void     Describe(wire::AgentStateT& out) const;
 
     struct Impl;
--- a/src/request/direct_attempt.cpp
+++ b/src/request/direct_attempt.cpp
@@ -1,4 +1,7 @@
-// One attempt of a request at one backend server, and passing its answer on. See direct_serve.h.
+// One attempt of a request at one backend server, and forwarding its answer to the caller. See direct_serve.h.
+//
+// Terms: an attempt is "stalled" when its server has sent nothing for longer than server.first_event_ms or server.next_event_ms. It is kept, with its
+// connection open, while another server is tried; the first event from any server cancels the attempts at the others.
 #include "request/direct_serve_internal.h"
 
 namespace aldervale
@@ -7,31 +10,31 @@
 namespace
 {
 
-constexpr auto kMaxIdleRepeatable    = seconds(4);        // a connection that rested longer isn't used: its server may have forgotten it
-constexpr auto kMaxIdleNotRepeatable = milliseconds(0);   // a server may have forgotten a resting connection: a request that runs once gets a new one
-constexpr auto kStalledReadTurn      = milliseconds(50);  // that one of several servers is listened to while all pause
-constexpr auto kCancelLeadTime       = milliseconds(150); // a reset is at the server this much before it must not begin; beyond the way there
-constexpr auto kNextServerSearchMax =
-    milliseconds(700);                       // for asking boxes and connecting elsewhere, at most; paused attempts aren't listened to meanwhile
-constexpr unsigned kPriorityResumed     = 0; // a stream that broke: its caller sees the pause until it goes on
-constexpr auto     kStaleConnectionMax  = milliseconds(250); // after sending; a server that ends a kept connection later broke off its work
-constexpr size_t   kWholeAnswerMaxBytes = 64 * 1024 * 1024;  // bytes of an answer that is held until it is whole
+constexpr auto     kMaxIdleRepeatable    = seconds(4);        // idle connections older than this aren't reused: the server may have dropped them
+constexpr auto     kMaxIdleNotRepeatable = milliseconds(0);   // no reuse: whether a request sent on a dropped connection ran is unknown
+constexpr auto     kStalledReadTurn      = milliseconds(50);  // for this long one stalled attempt is read before the next one is
+constexpr auto     kCancelLeadTime       = milliseconds(150); // a cancelling reset is sent this long before the weights deadline, to arrive in time
+constexpr auto     kNextServerSearchMax  = milliseconds(700); // upper bound of asking boxes and connecting; stalled attempts aren't read meanwhile
+constexpr unsigned kPriorityResumed      = 0;                 // of a stream that broke: its caller sees a pause until it resumes
+constexpr auto     kStaleConnectionMax   = milliseconds(250); // after sending; a kept connection that closes later wasn't stale: the work was aborted
+constexpr size_t   kWholeAnswerMaxBytes  = 64 * 1024 * 1024;  // of an answer that is held until it is complete
 
 bool IsServerError(unsigned status)
 {
     return status >= 500;
 }
 
-void RecordEvent(EventTiming& timing, TimePoint before, TimePoint heard)
+void RecordEvent(EventTiming& timing, TimePoint before, TimePoint received)
 {
     if (timing.m_FirstEventReceived)
-        timing.m_LongestGap = std::max(timing.m_LongestGap, heard - before);
+        timing.m_LongestGap = std::max(timing.m_LongestGap, received - before);
     else
-        timing.m_TimeToFirst = heard - timing.m_SentAt;
+        timing.m_TimeToFirst = received - timing.m_SentAt;
     timing.m_FirstEventReceived = true;
 }
 
-// By a whole objective later than predicted: waits vary by less than that while the view of the servers is right.
+// Whether the first event came later than predicted by more than the route's latency objective, or a gap exceeded the route's maximum. While the
+// estimates of the servers are right, waits vary by less than one objective.
 bool IsSlow(const Call& call, const RequestAttempt& attempt)
 {
     return attempt.m_Timing.m_FirstEventReceived && (attempt.m_Timing.m_TimeToFirst > attempt.m_PredictedFirstEvent + call.m_Route->m_Goal ||
@@ -64,7 +67,7 @@
     return IsSlow(call, attempt) ? ServerOutcome_Slow : ServerOutcome_Good;
 }
 
-// Drops the rest of an answer, so that its connection can be kept.
+// Discards the rest of an answer, so that its connection can be reused.
 awaitable<void> ReadToEnd(HttpStream& stream, TimePoint deadline)
 {
     for (;;)
@@ -78,21 +81,21 @@
 } // namespace
 
 //-----------------------------------------------------------------------------
-// The exchange
+// The exchange with a server
 //-----------------------------------------------------------------------------
 
 ForwardFields DirectServe::Impl::ForwardFieldsFor(const Call& call, std::string_view server_id, TimePoint now) const
 {
-    const unsigned of_route = call.m_Route->m_Priority;
-    const unsigned declared = call.m_Account != nullptr ? call.m_Account->m_Priority.value_or(of_route) : of_route;
-    ForwardFields  add;
-    add.m_ServerId    = server_id;
-    add.m_Account     = call.m_Account != nullptr ? call.m_Account->m_Name : std::string();
-    add.m_Remaining   = call.TimeLeft(now);
-    add.m_Priority    = call.m_EventsSent > 0 ? kPriorityResumed : declared;
-    add.m_Weights     = ExpectedWeights(call, now);
-    add.m_ResumeAfter = call.m_LastEventId;
-    return add;
+    const unsigned route_priority = call.m_Route->m_Priority;
+    const unsigned priority       = call.m_Account != nullptr ? call.m_Account->m_Priority.value_or(route_priority) : route_priority;
+    ForwardFields  fields;
+    fields.m_ServerId    = server_id;
+    fields.m_Account     = call.m_Account != nullptr ? call.m_Account->m_Name : std::string();
+    fields.m_Remaining   = call.TimeLeft(now);
+    fields.m_Priority    = call.m_EventsSent > 0 ? kPriorityResumed : priority;
+    fields.m_Weights     = ExpectedWeights(call, now);
+    fields.m_ResumeAfter = call.m_LastEventId;
+    return fields;
 }
 
 HttpCallOptions DirectServe::Impl::CallOptionsFor(Call& call) const
@@ -105,7 +108,8 @@
     return options;
 }
 
-// After this the attempt must not begin any more: its server's weights are too old then. Default: any time.
+// An attempt whose server hasn't sent an event must be cancelled by this time: its weights may not start a request after the deadline of newer ones.
+// max: no newer weights have a deadline.
 TimePoint DirectServe::Impl::LatestBegin(const Call& call, const RequestAttempt& attempt) const
 {
     for (const WeightsDeadline& d : WeightsDeadlines(call))
@@ -114,21 +118,23 @@
     return TimePoint::max();
 }
 
+// A repeatable stream that hasn't begun ends at LatestBegin(), as it can run elsewhere; all other attempts end at the deadline of the request.
 TimePoint DirectServe::Impl::AttemptDeadline(const Call& call, const RequestAttempt& attempt) const
 {
-    const TimePoint end_at   = AttemptEnds(call.m_Deadline, call.m_HeadSent);
-    const bool      may_wait = attempt.m_Timing.m_FirstEventReceived || !call.IsStream() || !call.m_Route->MayRepeat();
-    return may_wait ? end_at : std::min(end_at, LatestBegin(call, attempt));
+    const TimePoint end_at         = AttemptEnds(call.m_Deadline, call.m_HeadSent);
+    const bool      until_deadline = attempt.m_Timing.m_FirstEventReceived || !call.IsStream() || !call.m_Route->MayRepeat();
+    return until_deadline ? end_at : std::min(end_at, LatestBegin(call, attempt));
 }
 
-// Only a stream that may be sent again is looked for elsewhere while its server is at work on it.
+// Only a repeatable stream can stall: any other request isn't sent to another server while its own may still work on it. While other attempts are
+// stalled, this one is read for one turn only.
 TimePoint DirectServe::Impl::StallDeadline(const Call& call, const RequestAttempt& attempt) const
 {
     const TimePoint end_at = AttemptDeadline(call, attempt);
     if (!call.IsStream() || !call.m_Route->MayRepeat())
         return end_at;
-    const TimePoint look_at = call.m_StalledAttempts.empty() ? call.m_TryNextServerAt : std::min(call.m_TryNextServerAt, attempt.m_ReadTurnEnd);
-    return std::min(end_at, look_at);
+    const TimePoint stalled_at = call.m_StalledAttempts.empty() ? call.m_TryNextServerAt : std::min(call.m_TryNextServerAt, attempt.m_ReadTurnEnd);
+    return std::min(end_at, stalled_at);
 }
 
 awaitable<AttemptEnd> DirectServe::Impl::Attempt(Call& call, ServerEntry server)
@@ -144,14 +150,14 @@
 
     m_Choice.OnSent(attempt->m_Server, call.m_Caller.m_Prompt, sent_at);
     m_Limits.OnSent(attempt->m_Server, sent_at);
-    // A server that doesn't take the request has nothing to go on with: it is waited for no longer than for a first event.
-    const bool      elsewhere = call.IsStream() && call.m_Route->MayRepeat();
+    // An attempt can be kept as stalled only once the request was sent, so a server that doesn't take it gets no longer than for a first event.
+    const bool      can_stall = call.IsStream() && call.m_Route->MayRepeat();
     const TimePoint end_at    = AttemptDeadline(call, *attempt);
-    const TimePoint sent_by   = elsewhere ? std::min(end_at, call.m_TryNextServerAt) : end_at;
+    const TimePoint sent_by   = can_stall ? std::min(end_at, call.m_TryNextServerAt) : end_at;
     auto            sent      = co_await m_Client.Send(server.m_Address, forward, sent_by, options);
     if (!sent)
     {
-        const bool reached = sent.error().m_Verdict != Verdict_NotRun; // the request may have arrived
+        const bool reached = sent.error().m_Verdict != Verdict_NotRun; // the request may have reached the server
         RecordFailure(call, FailureCauseOf(sent.error()), sent.error().m_Message);
         if (reached)
             call.m_Tried.push_back(attempt->m_Server);
@@ -162,16 +168,16 @@
     co_return co_await RelayUntilStall(call, std::move(attempt));
 }
 
-// A server may end a kept connection while a request is on its way there. That says nothing of the server, so a request that may be repeated is sent
-// to it again, once. It counts as a repeat: whether it ran isn't known.
+// A server may close a kept connection while a request is in transit to it. That doesn't indicate a fault of the server, so a repeatable request is
+// sent to it once more. It is charged to the retry budget like any retry, because whether the first one ran is unknown.
 bool DirectServe::Impl::MayResend(Call& call, const RequestAttempt& attempt)
 {
     const TimePoint now = Now();
     if (!attempt.m_Stream->Stale() || attempt.m_Resent || !call.m_Route->MayRepeat() || call.m_Abort.Aborted())
         return false;
-    const bool crossed = now - attempt.m_Timing.m_SentAt < kStaleConnectionMax;
-    const bool in_time = AttemptDeadline(call, attempt) - now > kMinTimeForAttempt;
-    if (!crossed || !in_time || !IsUsable(attempt.m_Server, now) || m_CrashHistory.IsBlocked(call.ContentHash(), now))
+    const bool just_sent = now - attempt.m_Timing.m_SentAt < kStaleConnectionMax;
+    const bool in_time   = AttemptDeadline(call, attempt) - now > kMinTimeForAttempt;
+    if (!just_sent || !in_time || !IsUsable(attempt.m_Server, now) || m_CrashHistory.IsBlocked(call.ContentHash(), now))
         return false;
     return Budget(call.m_Service->m_Name).TryTake(call.m_HeadSent);
 }
@@ -195,12 +201,12 @@
     m_Limits.OnSent(attempt.m_Server, now);
     attempt.m_Stream = std::move(sent.value());
     LogEvent(Event_RequestRetried,
-             {{"id", call.m_Caller.m_Id}, {"server", attempt.m_Server.m_Id}, {"why", "kept connection ended"}, {"events", call.m_EventsSent}});
+             {{"id", call.m_Caller.m_Id}, {"server", attempt.m_Server.m_Id}, {"why", "kept connection was closed"}, {"events", call.m_EventsSent}});
     co_return true;
 }
 
-// A server that says nothing may go on yet, and what it has done can't be had elsewhere for nothing: its attempt is only set aside, and ends when
-// another server has an event to pass on. Ended at once, streams were broken off that no other server took.
+// A stalled server may still continue, and another one would have to repeat its work. So a stalled attempt is kept, and cancelled only when another
+// server sends an event. When stalled attempts were cancelled at once, streams broke off that no other server took.
 awaitable<AttemptEnd> DirectServe::Impl::RelayUntilStall(Call& call, RequestAttemptPtr attempt)
 {
     attempt->m_ReadTurnEnd = Now() + kStalledReadTurn;
@@ -211,14 +217,15 @@
     {
         attempt->m_StallCounted = true;
         call.m_StallCount++;
-        call.m_FailureText = "server " + attempt->m_Server.m_Id + " pauses";
+        call.m_FailureText = "server " + attempt->m_Server.m_Id + " stalled";
         m_Choice.OnPause(attempt->m_Server, Now());
     }
     call.m_StalledAttempts.push_back(std::move(attempt));
     co_return end;
 }
 
-// While another server is looked for nobody listens to them, and their weights may become too old to begin with.
+// Cancels stalled attempts whose server could start the request after its LatestBegin() while another server is searched for: attempts aren't read
+// during the search.
 void DirectServe::Impl::CancelLateAttempts(Call& call, TimePoint now)
 {
     std::deque<RequestAttemptPtr> kept;
@@ -228,13 +235,14 @@
             kept.push_back(std::move(attempt));
         else
         {
-            call.m_MayHaveRun = true; // it was sent
+            call.m_MayHaveRun = true; // the request was sent
             m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, call.m_Caller.m_Prompt, now - attempt->m_Timing.m_SentAt, now);
         }
     }
     call.m_StalledAttempts = std::move(kept);
 }
 
+// Reads from the stalled attempts in turn until one ends or the next server may be tried.
 awaitable<AttemptEnd> DirectServe::Impl::ReadStalledAttempts(Call& call)
 {
     AttemptEnd end = AttemptEnd_Stalled;
@@ -253,7 +261,8 @@
     for (const RequestAttemptPtr& attempt : call.m_StalledAttempts)
     {
         const double unread = attempt->m_Timing.m_FirstEventReceived ? 0 : call.m_Caller.m_Prompt;
-        m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, unread, now - attempt->m_Timing.m_SentAt, now); // the pause was counted as it came
+        // Not a failure: OnPause() has counted the stall already.
+        m_Choice.OnEnd(attempt->m_Server, ServerOutcome_Cancelled, unread, now - attempt->m_Timing.m_SentAt, now);
     }
     call.m_StalledAttempts.clear();
 }
@@ -269,9 +278,9 @@
         call.m_MayHaveRun = true;
     if (end == AttemptEnd_MayHaveRun && call.m_Cause == FailureCause_Closed)
         m_CrashDetector.OnConnectionLost(attempt.m_Server, attempt.m_Address, {call.m_Caller.m_Id, call.ContentHash()});
-    call.m_LastServer   = attempt.m_Server.m_Id;
-    const TimePoint now = Now();
-    const bool too_late = now >= AttemptEnds(call.m_Deadline, false) && end == AttemptEnd_MayHaveRun; // the deadline ended it: no fault of the server
+    call.m_LastServer        = attempt.m_Server.m_Id;
+    const TimePoint now      = Now();
+    const bool      too_late = now >= AttemptEnds(call.m_Deadline, false) && end == AttemptEnd_MayHaveRun; // not the server's failure
     if (too_late)
         RecordFailure(call, FailureCause_Deadline, "deadline reached");
     call.m_SilenceAtEnd         = now - std::max(timing.m_SentAt, timing.m_LastReceivedAt);
@@ -282,10 +291,10 @@
 }
 
 //-----------------------------------------------------------------------------
-// Passing the answer on
+// Forwarding the answer
 //-----------------------------------------------------------------------------
 
-// A 421 comes from a different server that now has the address, so it says nothing about the limit of the expected one.
+// A 421 comes from another server that now has the address, so it carries no information about the limit of the expected server.
 void DirectServe::Impl::UpdateServerLimit(const RequestAttempt& attempt, const ServerAnswer& answer)
 {
     if (attempt.m_Stream->Head().m_Status == 421)
@@ -347,30 +356,30 @@
         attempt.m_Body.append(piece.value().m_Bytes);
         if (attempt.m_Body.size() > kWholeAnswerMaxBytes)
         {
-            RecordFailure(call, FailureCause_InvalidAnswer, "answer over the bound");
+            RecordFailure(call, FailureCause_InvalidAnswer, "answer exceeds the size limit");
             co_return AttemptEnd_MayHaveRun;
         }
     }
     HttpResponse res = {stream.Head().m_Status, m_Protocol.CallerFields(stream.Head()), std::move(attempt.m_Body)};
-    if (call.m_HeadSent) // a stream that was to be taken up ended in another answer
+    if (call.m_HeadSent) // a resumed stream can't continue with an answer of another kind
     {
         RecordFailure(call, FailureCause_ServerError, "server answered " + std::to_string(res.m_Status) + " to a resumed stream");
         co_return AttemptEnd_MayHaveRun;
     }
-    const bool hopeful = res.m_Status >= 400 && !call.m_StalledAttempts.empty(); // a server that pauses may still do better
-    if (IsServerError(res.m_Status) || hopeful)
+    const bool await_stalled = res.m_Status >= 400 && !call.m_StalledAttempts.empty(); // a stalled server may still send a better answer
+    if (IsServerError(res.m_Status) || await_stalled)
     {
         RecordFailure(call, FailureCause_ServerError, "server answered " + std::to_string(res.m_Status));
         call.m_ServerErrorAnswer = std::move(res);
         co_return AttemptEnd_ServerError;
     }
     call.m_FirstByteAt = Now();
-    call.m_MayHaveRun  = true; // for the log: the answer is a server's, whatever its status
+    call.m_MayHaveRun  = true; // for the log: a server gave the answer, whatever its status
     co_await SendAnswer(call, std::move(res));
     co_return AttemptEnd_Answered;
 }
 
-// Takes all whole events that have come: those of one read go on together.
+// Returns the bytes of all whole events received; the events of one read are forwarded together.
 static std::string TakeEvents(Call& call, EventSplitter& events)
 {
     std::string out;
@@ -383,21 +392,21 @@
     return out;
 }
 
-awaitable<bool> DirectServe::Impl::SendEvents(Call& call, const HttpResponse& head, const std::string& events, TimePoint heard)
+awaitable<bool> DirectServe::Impl::SendEvents(Call& call, const HttpResponse& head, const std::string& events, TimePoint received)
 {
     if (!call.m_HeadSent)
     {
         call.m_HeadSent         = true;
         call.m_Status           = head.m_Status;
-        call.m_FirstByteAt      = heard;
+        call.m_FirstByteAt      = received;
         const HttpFields fields = m_Protocol.CallerFields(head);
         const bool       begun  = co_await call.m_Reply.Start(call.m_Status, fields);
         if (!begun)
             co_return false;
     }
     else
-        call.m_LongestSentGap = std::max(call.m_LongestSentGap, heard - call.m_LastEventAt);
-    call.m_LastEventAt = heard;
+        call.m_LongestSentGap = std::max(call.m_LongestSentGap, received - call.m_LastEventAt);
+    call.m_LastEventAt = received;
     co_return co_await call.m_Reply.Write(events);
 }
 
@@ -424,7 +433,7 @@
         timing.m_LastReceivedAt = Now();
         attempt.m_StallCounted  = false;
         call.m_TryNextServerAt  = timing.m_LastReceivedAt + milliseconds(m_Settings.m_NextEventMs);
-        CancelStalledAttempts(call); // what they would say comes again from here
+        CancelStalledAttempts(call); // this server sends all further events
         if (!timing.m_FirstEventReceived)
             m_Choice.OnFirstEvent(attempt.m_Server, call.m_Caller.m_Prompt);
         RecordEvent(timing, before, timing.m_LastReceivedAt);
--- a/src/request/direct_place.cpp
+++ b/src/request/direct_place.cpp
@@ -1,4 +1,8 @@
-// A server for a request: boxes are asked for a place, and the best that answers is taken; without answers reports decide. See direct_serve.h.
+// Choice of a server for a request. See direct_serve.h.
+//
+// A place is capacity for one more concurrent request at a model server. The router asks a few boxes for the state of their servers' places and takes
+// the best server that answered. Where free places are scarce, it claims one: a request to reserve the next free place. Without answers the load
+// reports decide.
 #include "request/direct_serve_internal.h"
 #include "request/engine_prediction.h"
 #include <algorithm>
@@ -9,32 +13,32 @@
 namespace
 {
 
-// Rounds of questions: one finds a server with room while there are any; a second one looks where the first found none. 3 rounds of 3 boxes are
-// 9 of the some 18 that are drawn; further ones found a server in time for under 1 request in 100.
+// Maximum rounds of asking boxes. One round finds a server with room while many have some; the next ones ask other boxes. 3 rounds of 3 boxes are
+// 9 of the about 18 candidates that are drawn; further rounds found a server in time for less than 1 request in 100.
 constexpr unsigned kAskRounds = 3;
 
-constexpr auto kEventTransit = milliseconds(100); // from a server's first event to the caller: what a caller bears is less by this
+constexpr auto kEventTransit = milliseconds(100); // from a server's event to the caller; deducted from the wait that a caller tolerates
 
-// How long the caller of a request that has lost its server still waits. A request whose server only pauses is not lost: it is taken elsewhere where
-// there is room to spare, or a full pool would do its work twice.
+// Maximum further wait that the caller of a request that lost its server tolerates. Zero if no server had it, or while its servers are only stalled:
+// then another server takes it only where there is room to spare, or a full pool would do the work twice.
 Duration MaxCallerWait(const Call& call, TimePoint now)
 {
     if (call.m_Tried.empty() || !call.m_StalledAttempts.empty())
         return {};
     if (!call.IsStream())
         return call.TimeLeft(now);
-    const TimePoint heard = call.m_EventsSent > 0 ? call.m_LastEventAt : call.m_StartedAt;
-    const Duration  left  = LongestPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap) - (now - heard) - kEventTransit;
+    const TimePoint received = call.m_EventsSent > 0 ? call.m_LastEventAt : call.m_StartedAt;
+    const Duration  left     = LongestPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap) - (now - received) - kEventTransit;
     return std::max<Duration>(left, milliseconds(1));
 }
 
 } // namespace
 
-struct DirectServe::Impl::PlaceQuery // for one admission
+struct DirectServe::Impl::PlaceQuery // boxes asked for one admission, and their answers
 {
-    std::vector<ServerLife>  m_Asked;    //
-    std::vector<ServerEntry> m_Answered; // copies: the directory may change meanwhile
-    Choice                   m_Best;     // of m_Answered
+    std::vector<ServerLife>  m_Asked;    // servers whose boxes were asked
+    std::vector<ServerEntry> m_Answered; // servers whose boxes answered; copies: the server directory may change meanwhile
+    Choice                   m_Best;     // best of m_Answered
 };
 
 RequestNeed DirectServe::Impl::NeedOf(const Call& call, std::span<const WeightsDeadline> deadlines, TimePoint now)
@@ -77,33 +81,33 @@
     return m_Choice.Best(UsableServers(query), need, now);
 }
 
-// A place at one of the boxes that answered, or a refusal.
+// Claims a place at the best servers that answered; the request is refused where none is granted.
 awaitable<Choice> DirectServe::Impl::ClaimPlace(Call& call, const RequestNeed& need, const PlaceQuery& query)
 {
-    const TimePoint           began = Now();
-    const std::vector<Choice> hoped = m_Choice.WhomToClaim(UsableServers(query), need, began);
-    if (hoped.empty())
+    const TimePoint           began      = Now();
+    const std::vector<Choice> candidates = m_Choice.WhomToClaim(UsableServers(query), need, began);
+    if (candidates.empty())
         co_return m_Choice.Refuse(query.m_Best, need, began);
     std::vector<Endpoint> boxes;
-    boxes.reserve(hoped.size());
-    for (const Choice& c : hoped)
+    boxes.reserve(candidates.size());
+    for (const Choice& c : candidates)
         boxes.push_back(PlaceEndpoint(*c.m_Server));
     const EngineCosts& costs   = *need.m_Service->m_Engine;
-    const PlaceWanted  wanted  = {costs.m_Slots, m_Choice.LineWait(hoped.front(), need), ReadingMs(costs, need.m_Prompt)};
+    const PlaceWanted  wanted  = {costs.m_Slots, m_Choice.LineWait(candidates.front(), need), ReadingMs(costs, need.m_Prompt)};
     const ClaimOutcome outcome = co_await m_PlaceChannel->Claim(boxes, wanted);
     const TimePoint    now     = Now();
     call.m_BoxesClaimed        = boxes.size();
     call.m_ClaimDuration       = now - began;
-    if (!outcome.m_Heard) // agents that know no claims, or datagrams that were lost: what was answered before decides
+    if (!outcome.m_Heard) // agents without support for claims, or lost datagrams: the earlier answers decide
         co_return m_Choice.Decide(query.m_Best, need, now);
-    const std::vector<const ServerEntry*> usable = UsableServers(query); // a server may have left meanwhile
-    for (const Choice& c : hoped)
+    const std::vector<const ServerEntry*> usable = UsableServers(query); // a server may have been removed meanwhile
+    for (const Choice& c : candidates)
         if (outcome.m_Granted && c.m_Server->m_Address.m_Address == *outcome.m_Granted && std::count(usable.begin(), usable.end(), c.m_Server) > 0)
         {
             call.m_ClaimGranted = true;
             co_return m_Choice.Granted(c, need, now);
         }
-    co_return m_Choice.Refuse(hoped.front(), need, now);
+    co_return m_Choice.Refuse(candidates.front(), need, now);
 }
 
 awaitable<void> DirectServe::Impl::AskOneRound(Call& call, const RequestNeed& need, PlaceQuery& query)
@@ -154,7 +158,7 @@
             if (query.m_Asked.size() == before || (!query.m_Answered.empty() && !m_Choice.Scarce(query.m_Best, need)))
                 break;
             if (query.m_Answered.empty() && round > 0)
-                break; // nobody answers: this router may be cut off, and more questions only take time
+                break; // no box answers: the router may be disconnected, and asking further boxes only takes time
         }
         call.m_BoxesAsked    = query.m_Asked.size();
         call.m_BoxesAnswered = query.m_Answered.size();
@@ -162,20 +166,20 @@
     }
     call.m_ClaimGranted = false;
     call.m_BoxesClaimed = 0;
-    const bool scarce   = !query.m_Answered.empty() && m_Choice.PlacesScarce(query.m_Best, need);
+    const bool claim    = !query.m_Answered.empty() && m_Choice.PlacesScarce(query.m_Best, need);
     if (query.m_Answered.empty())
         call.m_Choice = m_Choice.Choose(m_World.m_Servers.Usable(call.m_Service->m_Name), need, Now());
-    else if (scarce)
+    else if (claim)
         call.m_Choice = co_await ClaimPlace(call, need, query);
     else
         call.m_Choice = m_Choice.Decide(query.m_Best, need, Now());
-    std::optional<ServerEntry> taken;
+    std::optional<ServerEntry> chosen;
     if (call.m_Choice.m_Server != nullptr)
-        taken = *call.m_Choice.m_Server;
-    if (taken && !call.m_ClaimGranted && m_PlaceChannel != nullptr && call.m_Service->m_Engine)
-        m_PlaceChannel->Take(PlaceEndpoint(*taken), ReadingMs(*call.m_Service->m_Engine, call.m_Caller.m_Prompt));
-    call.m_Choice.m_Server = nullptr; // what it points to may not outlive this
-    co_return taken;
+        chosen = *call.m_Choice.m_Server;
+    if (chosen && !call.m_ClaimGranted && m_PlaceChannel != nullptr && call.m_Service->m_Engine)
+        m_PlaceChannel->Take(PlaceEndpoint(*chosen), ReadingMs(*call.m_Service->m_Engine, call.m_Caller.m_Prompt));
+    call.m_Choice.m_Server = nullptr; // it points into `query` or the server directory
+    co_return chosen;
 }
 
 awaitable<std::optional<ServerEntry>> DirectServe::Impl::Admit(Call& call)
@@ -184,10 +188,11 @@
     const RequestNeed                  need      = NeedOf(call, deadlines, Now());
     call.m_AdmittedAsRetry                       = need.m_CameBack;
     std::optional<ServerEntry> server            = co_await FindServer(call, need);
-    if (!server && call.m_Service->m_Engine && call.m_StalledAttempts.empty()) // one whose server pauses doesn't come back: it is still here
+    if (!server && call.m_Service->m_Engine &&
+        call.m_StalledAttempts.empty()) // with stalled attempts the request isn't refused, so its caller won't retry
         m_RetryEstimate.OnRefused(Now());
     if (!server)
-        call.m_FailureText = call.m_Choice.m_Candidates == 0 ? "no server can take it" : "no server would answer in time";
+        call.m_FailureText = call.m_Choice.m_Candidates == 0 ? "no server is available" : "no server can answer in time";
     co_return server;
 }
 
--- a/src/request/direct_serve.cpp
+++ b/src/request/direct_serve.cpp
@@ -1,4 +1,5 @@
-// The way of a request through a router: identify, admit, attempts, settle. See direct_serve.h; one attempt is in direct_attempt.cpp.
+// The steps of a request on a router: identification, retries, final answer, log and counters. See direct_serve.h; the choice of a server is in
+// direct_place.cpp, one attempt in direct_attempt.cpp.
 #include "process/declarations_lag.h"
 #include "request/direct_serve_internal.h"
 #include "request/request_hash.h"
@@ -10,16 +11,17 @@
 namespace
 {
 
-constexpr auto     kNotReadyRetryAfter    = milliseconds(300);  // when to come back to a router that knows no declarations yet
-constexpr auto     kBlockedRetryAfter     = seconds(60);        // Retry-After of requests blocked because they crash servers
-constexpr auto     kCrashCheckPoll        = milliseconds(5);    // between polls for the end of a crash check
-constexpr auto     kStalledSearchInterval = milliseconds(500);  // between looks for another server while the ones that have the request pause
-constexpr auto     kLostSearchMinPause    = milliseconds(100);  // the first pause while none has it; doubles, as many may have lost one server
-constexpr auto     kWeightsCheckLead      = milliseconds(2500); // before a deadline of weights, from when on servers are asked to check theirs
-constexpr unsigned kAssumedRouters        = 8;                  // sharing the retry budget, until reports say how many there are
-constexpr double   kBudgetRebuildFactor   = 1.5;                // times the routers that budgets were built for, from which on they are built anew
-constexpr double   kBudgetShare           = 0.8;                // of the declared budget that routers use together: windows slide
-constexpr double   kBudgetReserveShare    = 0.25;               // of that, left for answers that have begun
+constexpr auto kNotReadyRetryAfter    = milliseconds(300); // Retry-After of a router that has no declarations yet
+constexpr auto kBlockedRetryAfter     = seconds(60);       // Retry-After of requests blocked because they crash servers
+constexpr auto kCrashCheckPoll        = milliseconds(5);   // interval of polling for the end of a crash check
+constexpr auto kStalledSearchInterval = milliseconds(500); // between searches for another server while attempts are stalled
+constexpr auto kLostSearchMinPause =
+    milliseconds(100); // first pause between searches after the server was lost; doubles, as others may have lost it, too
+constexpr auto     kWeightsCheckLead    = milliseconds(2500); // from this long before a weights deadline on, servers check their version
+constexpr unsigned kAssumedRouters      = 8;                  // routers that share the retry budget, until reports give their number
+constexpr double   kBudgetRebuildFactor = 1.5;                // growth of the router count at which the budgets are rebuilt
+constexpr double   kBudgetShare         = 0.8;                // part of the declared budget that all routers use together: its windows slide
+constexpr double   kBudgetReserveShare  = 0.25;               // part of that reserved for answers that have begun
 
 constexpr std::string_view kFailureCauseNames[]  = {"none",  "silence", "closed",   "refused",    "unreachable",
                                                     "fault", "spoilt",  "deadline", "caller-gone"};
@@ -37,9 +39,9 @@
     return kFailureCauseNames[c];
 }
 
-std::string_view NoRetryReasonName(NoRetryReason g)
+std::string_view NoRetryReasonName(NoRetryReason r)
 {
-    return kNoRetryReasonNames[g];
+    return kNoRetryReasonNames[r];
 }
 
 std::vector<SettingSpec> DescribeDirectServe(DirectServeSettings& s)
@@ -87,7 +89,7 @@
 
 RetryBudget& DirectServe::Impl::Budget(const std::string& service)
 {
-    // Boxes hear of routers one by one: a share that was built for the first few would be many times too large.
+    // Boxes learn of routers one by one after a start: a share computed for the first few routers would be many times too large.
     if (m_Choice.RoutersHint() > m_BudgetRouterCount * kBudgetRebuildFactor)
     {
         m_BudgetRouterCount = m_Choice.RoutersHint();
@@ -100,7 +102,8 @@
         RetryConfig  cfg;
         cfg.m_PerRequest = m_Settings.m_RetryRatio * kBudgetShare;
         cfg.m_BudgetMax  = std::max(1.0, m_Settings.m_RetryExtra * kBudgetShare / routers);
-        cfg.m_Reserve    = std::min(cfg.m_BudgetMax * kBudgetReserveShare, cfg.m_BudgetMax - 1); // a small share still has one for anybody
+        cfg.m_Reserve    = std::min(cfg.m_BudgetMax * kBudgetReserveShare,
+                                    cfg.m_BudgetMax - 1); // even a small share leaves one token for answers that haven't begun
         cfg.m_MinLeft    = kMinTimeForAttempt;
         b                = std::make_unique<RetryBudget>(cfg);
     }
@@ -121,7 +124,8 @@
     return true;
 }
 
-// If one more crash would block the request, waits for the crash check of the server that it lost, so that no further server receives it meanwhile.
+// If one more crash would block the request, waits for the crash check of the server whose connection was lost, so that no other server receives the
+// request meanwhile.
 awaitable<void> DirectServe::Impl::AwaitCrashCheck(Call& call) const
 {
     if (call.m_Cause != FailureCause_Closed || m_CrashHistory.Empty())
@@ -143,8 +147,8 @@
     return m_Protocol.OwnAnswer(call.m_Caller, status, why, retry);
 }
 
-// With the store away from everybody, a wrong URL gets 503 for that time: its caller asks again for nothing, while a caller of a new route that is
-// told 404 gives up a request that would have been served.
+// Answers 503 instead of `status` while the declarations may be outdated. A caller of a new route that gets 404 gives up a request that could be
+// served. The cost: while nobody can reach the store, callers of wrong URLs get 503, too, and retry in vain.
 HttpResponse DirectServe::Impl::Deny(Call& call, unsigned status, std::string_view why) const
 {
     if (DeclarationsDoubted(call.m_DeclarationsAtArrival, call.m_StartedAt))
@@ -162,7 +166,7 @@
     call.m_LastEventId = call.m_Caller.m_ResumeAfter;
     call.m_Routes      = m_World.m_Routes;
     if (!call.m_Routes || !m_World.m_ServersKnown)
-        return Refuse(call, 503, "declarations not known yet", kNotReadyRetryAfter);
+        return Refuse(call, 503, "declarations are not loaded yet", kNotReadyRetryAfter);
     call.m_Route = call.m_Routes->FindRoute(call.m_Caller.m_Host, call.m_Request.Path());
     if (call.m_Route == nullptr)
         return Deny(call, 404, "no route");
@@ -176,12 +180,12 @@
     if (call.m_Service == nullptr)
         return Refuse(call, 503, "route names a service that isn't declared", kNotReadyRetryAfter);
     if (CheckBlocked(call, call.m_StartedAt))
-        return Refuse(call, 503, "servers crash under this request", kBlockedRetryAfter);
+        return Refuse(call, 503, "request is blocked because it crashed servers", kBlockedRetryAfter);
     const Duration  limit = std::min(call.m_Route->m_Timeout, call.m_Caller.m_Remaining.value_or(call.m_Route->m_Timeout));
     const TimePoint begun = call.m_Request.m_BegunAt != TimePoint{} ? call.m_Request.m_BegunAt : call.m_StartedAt;
-    call.m_Deadline       = begun + limit; // a body that came slowly has used some of it
+    call.m_Deadline       = begun + limit; // a slow upload of the body counts against the deadline
     if (limit > kMinTimeForAttempt && call.TimeLeft(call.m_StartedAt) < kMinTimeForAttempt)
-        return Refuse(call, 408, "request came too slowly for its time limit", {});
+        return Refuse(call, 408, "request arrived too slowly for its deadline", {});
     return std::nullopt;
 }
 
@@ -212,7 +216,7 @@
     return back;
 }
 
-// Near a deadline and after it the server itself is asked to check: what is believed of it may be outdated.
+// Shortly before a weights deadline and after it the server itself is asked to check its version: the router's information may be outdated.
 uint64_t DirectServe::Impl::ExpectedWeights(const Call& call, TimePoint now) const
 {
     for (const WeightsDeadline& d : WeightsDeadlines(call))
@@ -243,17 +247,17 @@
         call.m_NoRetryReason = NoRetryReason_CrashBlocked;
     if (call.m_NoRetryReason != NoRetryReason_None)
         return false;
-    // A server that was never reached costs the service nothing; only what arrives somewhere counts against the budget.
+    // The budget is charged only if the request reached a server before: unreachable servers did no work for it.
     const bool allowed = call.m_Tried.empty() || Budget(call.m_Service->m_Name).TryTake(call.m_HeadSent);
     if (!allowed)
         call.m_NoRetryReason = NoRetryReason_Budget;
     return allowed;
 }
 
-// A budget's token is given back where no server takes the request: nothing was sent again.
+// Returns the token to the retry budget if no server takes the request, as nothing was sent again.
 awaitable<std::optional<ServerEntry>> DirectServe::Impl::FindNextServer(Call& call, AttemptEnd end)
 {
-    const bool paid        = !call.m_Tried.empty();
+    const bool charged     = !call.m_Tried.empty();
     const bool allowed     = TakeRetry(call, end, Now());
     call.m_TryNextServerAt = std::max<TimePoint>(call.m_TryNextServerAt, Now() + kStalledSearchInterval);
     if (!allowed)
@@ -263,18 +267,18 @@
     if (server)
         co_return server;
     call.m_NoRetryReason = NoRetryReason_NoServer;
-    if (paid)
+    if (charged)
         Budget(call.m_Service->m_Name).GiveBack();
     co_return std::nullopt;
 }
 
-// A stream that has begun and has no server any more is looked for a place for as long as its caller waits: the pool that is full now has room within
-// some tenths of a second, and what the caller has would be lost. Nothing is kept waiting that hasn't begun.
+// A stream that has begun and lost its server keeps searching for as long as its caller tolerates the pause: a full pool has room again within some
+// tenths of a second, and otherwise the caller would lose what it has received. Requests that haven't begun are refused instead.
 bool DirectServe::Impl::MayKeepSearching(const Call& call, TimePoint now) const
 {
-    const bool refused = call.m_NoRetryReason == NoRetryReason_NoServer || call.m_NoRetryReason == NoRetryReason_Budget;
-    const bool bears   = now - call.m_LastEventAt < LongestPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap);
-    return refused && bears && call.m_HeadSent && call.m_StalledAttempts.empty() && call.m_Route->MayRepeat() &&
+    const bool refused      = call.m_NoRetryReason == NoRetryReason_NoServer || call.m_NoRetryReason == NoRetryReason_Budget;
+    const bool caller_waits = now - call.m_LastEventAt < LongestPause(call.m_Route->m_Goal, call.m_Route->m_MaxGap);
+    return refused && caller_waits && call.m_HeadSent && call.m_StalledAttempts.empty() && call.m_Route->MayRepeat() &&
            call.TimeLeft(now) > kMinTimeForAttempt + kLostSearchMinPause;
 }
 
@@ -282,7 +286,7 @@
 {
     std::optional<ServerEntry> server = co_await FindNextServer(call, end);
     for (Duration pause = kLostSearchMinPause; !server && !call.m_Abort.Aborted() && MayKeepSearching(call, Now());
-         pause *= 2) // each look asks up to nine boxes
+         pause *= 2) // each search asks up to nine boxes
     {
         co_await SleepFor(pause);
         server = co_await FindNextServer(call, end);
@@ -295,7 +299,7 @@
     Budget(call.m_Service->m_Name).OnRequest();
     call.m_LikelyRetry                = DetectRetry(call);
     AttemptEnd                 end    = AttemptEnd_NotRun;
-    std::optional<ServerEntry> server = co_await Admit(call); // a copy: the directory may change while the attempt waits
+    std::optional<ServerEntry> server = co_await Admit(call); // a copy: the server directory may change during the attempt
     if (!server)
         call.m_NoRetryReason = NoRetryReason_NoServer;
     while ((server || !call.m_StalledAttempts.empty()) && !call.m_Abort.Aborted())
@@ -309,8 +313,8 @@
             break;
         server.reset();
         co_await AwaitCrashCheck(call);
-        const bool look = end != AttemptEnd_Stalled || Now() >= call.m_TryNextServerAt;
-        if (look)
+        const bool search = end != AttemptEnd_Stalled || Now() >= call.m_TryNextServerAt;
+        if (search)
             server = co_await FindNextServerWithWait(call, end);
         if (server)
             LogEvent(Event_RequestRetried,
@@ -330,7 +334,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// SendFinalAnswer
+// Final answer, log and counters
 //-----------------------------------------------------------------------------
 
 awaitable<void> DirectServe::Impl::SendAnswer(Call& call, HttpResponse res)
@@ -359,7 +363,7 @@
     {
         call.m_AnswerAborted = true;
         LogAbortedAnswer(call);
-        call.m_Reply.Abort(); // the caller sees a broken answer, and may take it up after the last event
+        call.m_Reply.Abort(); // the caller sees an incomplete answer, and may resume it after the last event
         co_return;
     }
     if (call.m_ServerErrorAnswer)
@@ -492,7 +496,7 @@
         if (!s.m_Engine || e.m_Address.m_Address != box)
             return;
         if (ServerLife::Earlier(report.m_BornMs, e.m_BornMs))
-            return; // of the server that was there before
+            return; // report of an earlier incarnation of the server
         m_Impl->m_Choice.OnReport({e.m_Id, report.m_BornMs}, report, now);
         NoteReported(m_Impl->m_World, s.m_Engine->m_Model, report.m_Named, FromMs(m_Impl->m_Settings.m_WeightsDeadlineMs), now);
     };
@@ -517,10 +521,10 @@
 
 void DirectServe::SetSettings(const DirectServeSettings& s)
 {
-    const DirectServeSettings& before    = m_Impl->m_Settings;
-    const bool                 new_bound = s.m_RetryRatio != before.m_RetryRatio || s.m_RetryExtra != before.m_RetryExtra;
-    m_Impl->m_Settings                   = s;
-    if (new_bound) // only then: budgets that are built anew are full, and a file that is written often would undo the bound
+    const DirectServeSettings& before         = m_Impl->m_Settings;
+    const bool                 budget_changed = s.m_RetryRatio != before.m_RetryRatio || s.m_RetryExtra != before.m_RetryExtra;
+    m_Impl->m_Settings                        = s;
+    if (budget_changed) // only then: rebuilt budgets are full, so a settings file that is rewritten often would lift the bound
         m_Impl->m_Budgets.clear();
 }
 
--- a/src/request/direct_serve.h
+++ b/src/request/direct_serve.h
@@ -1,20 +1,21 @@
-// aldervale: callers' requests on a router that talks to backend servers itself, without an agent between
+// aldervale: serves callers' requests on a router that talks to backend servers directly, without an agent between them
 //
-// The way of a request, a function each (direct_serve.cpp, direct_attempt.cpp):
-//   Identify   route by host and longest prefix, client account by key, deadline
-//   Admit      a few boxes are asked for a place, and the server with the shortest predicted time is taken (direct_place.cpp); refused at once,
-//              with a time to come back, when none is in time
-//   Attempt    one exchange with one server, which only the chosen lifetime of the server may run
-//   Relay      whole answers only when they are whole; streams event by event; a resumable stream that breaks goes on at another server
-//   Follow     relays an attempt until it ends or its server pauses; one that pauses is set aside with its connection open
-//   Another    looks for a server after a failure or a pause; where none takes the request, GoOn() listens to those that pause. The first event from
-//   any
-//              server ends the attempts at all others
-//   LookOn     a begun stream that has lost its server is looked for a place as long as its caller waits
-//   Settle     one log line, counters, the answer if none was given yet
+// Steps of a request, one function each (direct_serve.cpp, direct_attempt.cpp, direct_place.cpp):
+//   Identify                 finds the route by host and longest path prefix and the client account by API key, and computes the deadline
+//   Admit                    asks a few boxes for a place (capacity for one more concurrent request at their model server) and chooses the server
+//                            with the shortest predicted time; where no server can answer in time it refuses at once, with a Retry-After
+//   Attempt                  runs one exchange with one server; only the chosen incarnation of the server may run the request
+//   Relay                    forwards a non-streamed answer once it is complete, and a stream event by event
+//   RelayUntilStall          relays an attempt until it ends or its server stalls, i.e. sends nothing for too long; a stalled attempt is kept
+//                            with its connection open
+//   FindNextServer           chooses another server after a failure or a stall; a resumable stream continues there after its last event
+//   ReadStalledAttempts      reads from the stalled servers in turn while no other server takes the request; the first event from any server
+//                            cancels the attempts at all others
+//   FindNextServerWithWait   repeats the search for a stream that has begun and lost its server, for as long as its caller tolerates the wait
+//   SendFinalAnswer          sends an answer if none was sent yet; Handle() then writes the counters and one log line
 //
-// "Not run" is said only when every server that the request reached said so itself, or was never reached. A caller who leaves ends the
-// exchange at once.
+// The verdict "not run" is given only if every server that the request reached reported it, or if the request reached none. When a caller
+// disconnects, all its exchanges end at once.
 //
 // Usage (src/programs/platform_router.cpp):
 //   DirectServe serve(daemon, settings, world, protocol);
@@ -40,15 +41,16 @@
 // [SECTION] Settings
 //-----------------------------------------------------------------------------
 
-// Numbers that a platform renders may be fractions or have an exponent: one read as an integer only ended every router at its start.
+// A platform may render numbers as fractions or with an exponent, so values that it renders are doubles: parsing one as an integer stopped every
+// router at startup.
 struct DirectServeSettings
 {
-    double  m_RetryRatio        = 0.2;  // retries for each request, over all routers [retry.ratio]
-    double  m_RetryExtra        = 100;  // retries beyond that in a window, over all routers [retry.extra]
-    int64_t m_ConnectMs         = 300;  // longest wait for a new connection to a backend server [server.connect_ms]
-    int64_t m_FirstEventMs      = 2000; // wait for a first event after which the next server is tried [server.first_event_ms]
-    int64_t m_NextEventMs       = 1500; // the same between events [server.next_event_ms]
-    double  m_WeightsDeadlineMs = 8000; // from naming a version of weights until no older one may begin a request [weights.deadline_ms]
+    double  m_RetryRatio        = 0.2;  // retries per request, over all routers [retry.ratio]
+    double  m_RetryExtra        = 100;  // additional retries per window of some ten seconds, over all routers [retry.extra]
+    int64_t m_ConnectMs         = 300;  // timeout of a new connection to a backend server, ms [server.connect_ms]
+    int64_t m_FirstEventMs      = 2000; // wait for a stream's first event before the next server is tried, ms [server.first_event_ms]
+    int64_t m_NextEventMs       = 1500; // wait between events before the next server is tried, ms [server.next_event_ms]
+    double  m_WeightsDeadlineMs = 8000; // from declaring a version of weights until no older one may start a request, ms [weights.deadline_ms]
 };
 
 std::vector<SettingSpec> DescribeDirectServe(DirectServeSettings& s);
@@ -63,15 +65,15 @@
     DirectServe(Daemon& daemon, const DirectServeSettings& s, RoutingWorld& world, const RequestProtocol& protocol);
     ~DirectServe();
 
-    void            UsePlaceChannel(PlaceChannel& places, uint16_t port); // of model servers, at that port; without it reports alone decide
+    void UsePlaceChannel(PlaceChannel& places, uint16_t port); // asks boxes for places, at that UDP port; without it only load reports decide
     awaitable<void> Handle(HttpRequest& req, HttpReply& reply);
-    void            OnReport(const asio::ip::address& box, const LoadReport& report); // from the agent of the model server at that IP number
+    void            OnReport(const asio::ip::address& box, const LoadReport& report); // load report from the agent on that box
     void            OnServersChanged();
-    void            SetSettings(const DirectServeSettings& s); // on reload
+    void            SetSettings(const DirectServeSettings& s); // on a reload of the settings file
     uint64_t        InFlight() const;
-    ServerLimits&   GetServerLimits();   // synchronized with other routers
-    uint32_t        RoutersHint() const; // routers that share the servers, as last reported; 0: unknown
-    CrashHistory&   GetCrashHistory();   // synchronized with other routers
+    ServerLimits&   GetServerLimits();   // merged with the limits of other routers
+    uint32_t        RoutersHint() const; // number of routers that share the servers, as last reported; 0: unknown
+    CrashHistory&   GetCrashHistory();   // merged with the crash records of other routers
 
     struct Impl;
 
--- a/src/request/direct_serve_internal.h
+++ b/src/request/direct_serve_internal.h
@@ -1,4 +1,5 @@
-// Internal to direct_serve.cpp and direct_attempt.cpp: one request under way.
+// Internal to direct_serve.cpp, direct_attempt.cpp and direct_place.cpp: the state of one request and the functions that serve it. A place is
+// capacity for one more concurrent request at a model server.
 #pragma once
 #include "common/log.h"
 #include "common/metrics.h"
@@ -14,68 +15,68 @@
 
 enum AttemptEnd
 {
-    AttemptEnd_Answered,    // the caller has its answer, or was cut off because nothing better is possible
-    AttemptEnd_NotRun,      // the server did not run it, or was not reached
-    AttemptEnd_MayHaveRun,  // no whole answer
-    AttemptEnd_ServerError, // a whole answer that says that the server failed; kept in Call::m_ServerErrorAnswer
-    AttemptEnd_Stalled,     // nothing came for too long; the attempt is kept in Call::m_StalledAttempts
-    AttemptEnd_CallerGone,  //
+    AttemptEnd_Answered,    // the caller has the whole answer
+    AttemptEnd_NotRun,      // the server reported that it did not run the request, or was not reached
+    AttemptEnd_MayHaveRun,  // no complete answer; the server may have run the request
+    AttemptEnd_ServerError, // complete answer with an error status; kept in Call::m_ServerErrorAnswer
+    AttemptEnd_Stalled,     // nothing was received for too long; the attempt is kept in Call::m_StalledAttempts
+    AttemptEnd_CallerGone,  // the caller disconnected
 };
 
-enum FailureCause // what ended the last attempt; for the log
+enum FailureCause // why the last attempt failed; logged and counted by FailureCauseName()
 {
-    FailureCause_None,          // it was answered whole, or there was none
-    FailureCause_Timeout,       // nothing came from the server for as long as we wait
-    FailureCause_Closed,        // the server, or the way there, ended the connection
-    FailureCause_Refused,       // the server said that it did not run it
-    FailureCause_Unreachable,   // no connection
-    FailureCause_ServerError,   // the server answered that it failed
-    FailureCause_InvalidAnswer, // what came is no answer
-    FailureCause_Deadline,      //
-    FailureCause_CallerGone,    //
+    FailureCause_None,          // no attempt was made, or the last one was answered
+    FailureCause_Timeout,       // the server sent nothing within the allowed time ("silence")
+    FailureCause_Closed,        // the connection was closed or reset
+    FailureCause_Refused,       // the server reported that it did not run the request
+    FailureCause_Unreachable,   // no connection could be opened
+    FailureCause_ServerError,   // the server answered with an error status ("fault")
+    FailureCause_InvalidAnswer, // the answer exceeds the size bound ("spoilt")
+    FailureCause_Deadline,      // the deadline of the request was reached
+    FailureCause_CallerGone,    // the caller disconnected
 };
 
-enum NoRetryReason // why no other server was tried after the last attempt; for the log
+enum NoRetryReason // why no other server was tried after the last attempt; logged by NoRetryReasonName()
 {
-    NoRetryReason_None,          // none was needed, or none was tried at all
-    NoRetryReason_NoServer,      // none would take it
-    NoRetryReason_MaxAttempts,   // as many as the route allows were made
-    NoRetryReason_Budget,        // retries would be too many
-    NoRetryReason_DeadlineNear,  //
-    NoRetryReason_NotRepeatable, // it may have run, and must not run again
-    NoRetryReason_CrashBlocked,  // blocked because it crashed servers
+    NoRetryReason_None,          // no retry was needed
+    NoRetryReason_NoServer,      // no server would take the request
+    NoRetryReason_MaxAttempts,   // the route's maximum number of attempts was reached
+    NoRetryReason_Budget,        // the retry budget is used up
+    NoRetryReason_DeadlineNear,  // less than kMinTimeForAttempt is left ("no-time")
+    NoRetryReason_NotRepeatable, // the request may have run, and its route forbids a second run ("runs-once")
+    NoRetryReason_CrashBlocked,  // the request is blocked because it crashed servers ("crashes")
 };
 
-constexpr auto kMinTimeForAttempt = milliseconds(40); // time before the deadline below which no attempt is begun
+constexpr auto kMinTimeForAttempt = milliseconds(40); // no attempt is started with less time before the deadline
 
 std::string_view FailureCauseName(FailureCause c);
-std::string_view NoRetryReasonName(NoRetryReason g);
+std::string_view NoRetryReasonName(NoRetryReason r);
 
-struct EventTiming // how quickly the events of one attempt came
+struct EventTiming // timing of the events of one attempt
 {
-    TimePoint m_SentAt{};                   //
-    bool      m_FirstEventReceived = false; // an event came
-    Duration  m_TimeToFirst{};              // until the first event
-    Duration  m_LongestGap{};               // longest pause between events
-    TimePoint m_LastReceivedAt{};           // when its last bytes came; default: none did
+    TimePoint m_SentAt{};                   // when the request was sent
+    bool      m_FirstEventReceived = false; // an event was received
+    Duration  m_TimeToFirst{};              // from sending to the first event
+    Duration  m_LongestGap{};               // longest time between two events
+    TimePoint m_LastReceivedAt{};           // when the last whole events were received; default: none were
 };
 
-struct RequestAttempt // at one server, from the sending of the request on
+struct RequestAttempt // one exchange with one server, from the sending of the request on
 {
     RequestAttempt(ServerLife server, Endpoint address) : m_Server(std::move(server)), m_Address(address) {}
 
-    ServerLife    m_Server;                //
-    Endpoint      m_Address;               // of m_Server
-    uint64_t      m_WeightsVersion = 0;    // version that it is believed to hold; 0: no model server
-    Duration      m_PredictedFirstEvent{}; // time to the first event, when it was chosen
-    HttpStreamPtr m_Stream;                //
+    ServerLife    m_Server;                // the incarnation that the request was sent to
+    Endpoint      m_Address;               // address of m_Server
+    uint64_t      m_WeightsVersion = 0;    // version of the weights that the server is assumed to hold; 0: not a model server
+    Duration      m_PredictedFirstEvent{}; // predicted time to the first event, when the server was chosen
+    HttpStreamPtr m_Stream;                // the exchange; null until the request was sent
     EventTiming   m_Timing;                //
-    EventSplitter m_Splitter;              // what has come and is no whole event yet
-    bool          m_HeadReceived = false;  // the head of its answer has come
-    bool          m_StallCounted = false;  // it has paused for too long before
-    bool          m_Resent       = false;  // it met a stale connection and was sent once more
-    TimePoint     m_ReadTurnEnd{};         // others that pause are listened to after it
-    std::string   m_Body;                  // of an answer that is passed on whole
+    EventSplitter m_Splitter;              // holds received bytes that are no whole event yet
+    bool          m_HeadReceived = false;  // the head of the answer was received
+    bool          m_StallCounted = false;  // the current stall was counted
+    bool          m_Resent       = false;  // the kept connection was stale and the request was sent once more
+    TimePoint     m_ReadTurnEnd{};         // until when this attempt is read while others are stalled, too; see kStalledReadTurn
+    std::string   m_Body;                  // body received so far of an answer that is forwarded when complete
 };
 using RequestAttemptPtr = std::unique_ptr<RequestAttempt>;
 
@@ -83,47 +84,47 @@
 {
     Call(HttpRequest& request, HttpReply& reply) : m_Request(request), m_Reply(reply) {}
 
-    HttpRequest&                  m_Request;                            //
-    HttpReply&                    m_Reply;                              //
-    CallerRequest                 m_Caller;                             //
-    TimePoint                     m_StartedAt;                          //
-    TimePoint                     m_Deadline;                           // the caller's or the route's, whichever is first
-    DeclarationsBelief            m_DeclarationsAtArrival;              // when it came
-    RouteTablePtr                 m_Routes;                             // keeps m_Route, m_Account and m_Service alive
-    const Route*                  m_Route   = nullptr;                  //
-    const ClientAccount*          m_Account = nullptr;                  // null: the route is public, or nobody needs a key
-    const Service*                m_Service = nullptr;                  //
-    HttpAbort                     m_Abort;                              // ends all attempts when the caller leaves
-    std::vector<ServerLife>       m_Tried;                              // servers that the request was sent to
-    bool                          m_MayHaveRun      = false;            // some server may have run it
-    bool                          m_AnswerAborted   = false;            // the answer was begun and ended before its end
-    bool                          m_HeadSent        = false;            // the answer's head went to the caller
-    bool                          m_LikelyRetry     = false;            // the caller is taken for one that was refused before
-    bool                          m_AdmittedAsRetry = false;            // when it was last admitted: refused before, or tried elsewhere
-    unsigned                      m_EventsSent      = 0;                // streams: events passed on
-    std::string                   m_LastEventId;                        // streams: id of the last event passed on, or where the caller asked to go on
-    TimePoint                     m_FirstByteAt{};                      // when the first event or answer went to the caller
-    Duration                      m_LongestSentGap{};                   // streams: longest pause between events
-    TimePoint                     m_LastEventAt{};                      // when the last event went to the caller
-    std::optional<HttpResponse>   m_ServerErrorAnswer;                  // whole answer of a server that failed, if nothing better comes
-    Choice                        m_Choice;                             // the last one made
-    size_t                        m_BoxesAsked    = 0;                  // boxes asked for a place, when it was last admitted
-    size_t                        m_BoxesAnswered = 0;                  // of these
-    Duration                      m_AskDuration{};                      // until enough had answered
-    size_t                        m_BoxesClaimed = 0;                   // boxes at which a place was claimed, when it was last admitted
-    bool                          m_ClaimGranted = false;               // one of them granted it
-    Duration                      m_ClaimDuration{};                    // until then, or until none was left
-    std::string                   m_FailureText;                        // last thing that went wrong
-    FailureCause                  m_Cause         = FailureCause_None;  // of the last attempt's end
-    NoRetryReason                 m_NoRetryReason = NoRetryReason_None; //
-    Duration                      m_SilenceAtEnd{};    // from the last bytes of the last attempt's server, or its sending, to its end
-    unsigned                      m_Status = 0;        // answered to the caller
-    std::deque<RequestAttemptPtr> m_StalledAttempts;   // attempts whose servers say nothing, until any server has an event
-    TimePoint                     m_TryNextServerAt{}; // when another server is looked for next, unless an event comes
-    unsigned                      m_AttemptCount = 0;  // attempts, unreachable servers included
-    std::string                   m_LastServer;        // of the attempt that ended last
-    unsigned                      m_StallCount = 0;    // that made it look for another server
-    std::optional<uint64_t>       m_ContentHash;       // computed on first use
+    HttpRequest&            m_Request;               //
+    HttpReply&              m_Reply;                 //
+    CallerRequest           m_Caller;                // fields decoded from the request
+    TimePoint               m_StartedAt;             // when Handle() was called
+    TimePoint               m_Deadline;              // the earlier of the caller's and the route's deadline
+    DeclarationsBelief      m_DeclarationsAtArrival; // how current the declarations were when the request arrived
+    RouteTablePtr           m_Routes;                // the declarations that the request is served under; owns m_Route, m_Account and m_Service
+    const Route*            m_Route   = nullptr;     //
+    const ClientAccount*    m_Account = nullptr;     // null: the route is public, or no account needs a key
+    const Service*          m_Service = nullptr;     //
+    HttpAbort               m_Abort;                 // cancels all attempts when the caller disconnects
+    std::vector<ServerLife> m_Tried;                 // servers that the request was sent to
+    bool                    m_MayHaveRun    = false; // some server may have run it
+    bool                    m_AnswerAborted = false; // the answer was begun and cut off
+    bool                    m_HeadSent      = false; // the head of the answer was sent to the caller
+    bool                    m_LikelyRetry   = false; // estimate: the caller was refused before and retries
+    bool        m_AdmittedAsRetry = false; // at the last admission: the caller was likely refused before, or the request was tried at a server
+    unsigned    m_EventsSent      = 0;     // streams: number of events sent to the caller
+    std::string m_LastEventId;             // streams: id of the last event sent, or the one that the caller asked to resume after
+    TimePoint   m_FirstByteAt{};           // when the first event or the whole answer was received for the caller
+    Duration    m_LongestSentGap{};        // streams: longest time between events sent to the caller
+    TimePoint   m_LastEventAt{};           // streams: when the last event sent to the caller was received
+    std::optional<HttpResponse>   m_ServerErrorAnswer;                  // complete error answer of a server, sent if no better one is received
+    Choice                        m_Choice;                             // last choice of a server
+    size_t                        m_BoxesAsked    = 0;                  // boxes asked for a place at the last admission
+    size_t                        m_BoxesAnswered = 0;                  // how many of these answered
+    Duration                      m_AskDuration{};                      // time that asking took
+    size_t                        m_BoxesClaimed = 0;                   // boxes at which a place was claimed at the last admission
+    bool                          m_ClaimGranted = false;               // one of the claims was granted
+    Duration                      m_ClaimDuration{};                    // time until a claim was granted or all were refused
+    std::string                   m_FailureText;                        // last failure or refusal, as told to the caller and logged
+    FailureCause                  m_Cause         = FailureCause_None;  // why the last attempt failed
+    NoRetryReason                 m_NoRetryReason = NoRetryReason_None; // why no other server was tried
+    Duration                      m_SilenceAtEnd{};                     // from the last receipt (or the sending) to the end of the last attempt
+    unsigned                      m_Status = 0;                         // status sent to the caller; 0: none yet
+    std::deque<RequestAttemptPtr> m_StalledAttempts;                    // attempts whose servers are stalled, kept until any server sends an event
+    TimePoint                     m_TryNextServerAt{};                  // when the next server is tried, unless an event is received first
+    unsigned                      m_AttemptCount = 0;                   // attempts made, unreachable servers included
+    std::string                   m_LastServer;                         // id of the server whose attempt ended last
+    unsigned                      m_StallCount = 0;                     // stalls after which another server was searched for
+    std::optional<uint64_t>       m_ContentHash;                        // computed on first use
 
     Duration TimeLeft(TimePoint now) const { return m_Deadline - now; }
     uint64_t ContentHash();
@@ -132,75 +133,78 @@
 
 struct DirectServe::Impl
 {
-    Daemon&                                             m_Daemon;                      //
-    DirectServeSettings                                 m_Settings;                    //
-    RoutingWorld&                                       m_World;                       //
-    const RequestProtocol&                              m_Protocol;                    //
-    HttpClient                                          m_Client;                      //
-    ServerChoice                                        m_Choice;                      //
-    ServerLimits                                        m_Limits{RandomSeed()};        // divided among all routers
-    CrashDetector                                       m_CrashDetector;               //
-    CrashHistory                                        m_CrashHistory;                // merged with the records of other routers
-    ReturnGuess                                         m_RetryEstimate;               // of callers of model services
-    std::map<std::string, std::unique_ptr<RetryBudget>> m_Budgets;                     // by service
-    uint32_t                                            m_BudgetRouterCount = 0;       // routers that m_Budgets were built for; 0: assumed
-    PlaceChannel*                                       m_PlaceChannel      = nullptr; // null: boxes aren't asked
-    uint16_t                                            m_PlacePort         = 0;       // of m_PlaceChannel
-    uint64_t                                            m_InFlight          = 0;       // requests from their head to their last byte
+    Daemon&                                             m_Daemon;                //
+    DirectServeSettings                                 m_Settings;              //
+    RoutingWorld&                                       m_World;                 //
+    const RequestProtocol&                              m_Protocol;              //
+    HttpClient                                          m_Client;                //
+    ServerChoice                                        m_Choice;                //
+    ServerLimits                                        m_Limits{RandomSeed()};  // this router's shares of the servers' rate limits
+    CrashDetector                                       m_CrashDetector;         //
+    CrashHistory                                        m_CrashHistory;          // merged with the crash records of other routers
+    ReturnGuess                                         m_RetryEstimate;         // which callers of model services were refused before
+    std::map<std::string, std::unique_ptr<RetryBudget>> m_Budgets;               // retry budgets by service
+    uint32_t                                            m_BudgetRouterCount = 0; // router count that m_Budgets were built for; 0: kAssumedRouters
+    PlaceChannel*                                       m_PlaceChannel      = nullptr; // null: boxes aren't asked for places
+    uint16_t                                            m_PlacePort         = 0;       // port at which the boxes answer m_PlaceChannel
+    uint64_t                                            m_InFlight          = 0;       // requests between their head and their last byte
 
     Impl(Daemon& daemon, const DirectServeSettings& s, RoutingWorld& world, const RequestProtocol& protocol);
 
-    HttpResponse                 Refuse(Call& call, unsigned status, std::string_view why, Duration retry) const; // retry: zero: says none
-    HttpResponse                 Deny(Call& call, unsigned status, std::string_view why) const; // or 503, while declarations are doubted
-    std::optional<HttpResponse>  Identify(Call& call);                                          // an answer when the request can't go on
+    // Identify (direct_serve.cpp)
+    HttpResponse                 Refuse(Call& call, unsigned status, std::string_view why, Duration retry) const; // retry: zero: no Retry-After
+    HttpResponse                 Deny(Call& call, unsigned status, std::string_view why) const; // 503 instead while declarations may be outdated
+    std::optional<HttpResponse>  Identify(Call& call);                                          // an answer: the request is refused with it
     std::vector<WeightsDeadline> WeightsDeadlines(const Call& call) const;
-    uint64_t                     ExpectedWeights(const Call& call, TimePoint now) const; // that the server must hold; 0: any
-    bool                         DetectRetry(const Call& call);                          // once for each call
+    uint64_t                     ExpectedWeights(const Call& call, TimePoint now) const; // version that the server must check; 0: any
+    bool                         DetectRetry(const Call& call);                          // call once for each request: it updates m_RetryEstimate
     void                         OnCrash(const ServerCrash& crash);
     bool                         CheckBlocked(Call& call, TimePoint now); // logs the refusal; call once for each attempt
     RetryBudget&                 Budget(const std::string& service);
     awaitable<void>              AwaitCrashCheck(Call& call) const;
     awaitable<void>              Serve(Call& call);
 
-    // A server for a request (direct_place.cpp)
+    // Choice of a server (direct_place.cpp)
     struct PlaceQuery;
 
-    awaitable<std::optional<ServerEntry>> Admit(Call& call); // nothing: refused
+    awaitable<std::optional<ServerEntry>> Admit(Call& call); // nullopt: refused
     awaitable<std::optional<ServerEntry>> FindServer(Call& call, const RequestNeed& need);
     awaitable<void>                       AskOneRound(Call& call, const RequestNeed& need, PlaceQuery& query);
-    bool                                  IsUsable(const ServerLife& server, TimePoint now); // still listed, and takes new work
+    bool                                  IsUsable(const ServerLife& server, TimePoint now); // still listed, and accepts new requests
     std::vector<const ServerEntry*>       UsableServers(const PlaceQuery& query);
     Choice                                BestAnswered(const PlaceQuery& query, RequestNeed need, TimePoint now);
     awaitable<Choice>                     ClaimPlace(Call& call, const RequestNeed& need, const PlaceQuery& query);
     RequestNeed                           NeedOf(const Call& call, std::span<const WeightsDeadline> deadlines, TimePoint now);
     Endpoint                              PlaceEndpoint(const ServerEntry& server) const;
 
+    // One attempt (direct_attempt.cpp)
     awaitable<AttemptEnd> Attempt(Call& call, ServerEntry server);
-    bool                  MayResend(Call& call, const RequestAttempt& attempt);
-    awaitable<bool>       Resend(Call& call, RequestAttempt& attempt); // to the same server on a new connection; false: not sent
+    bool                  MayResend(Call& call, const RequestAttempt& attempt); // takes a token of the retry budget
+    awaitable<bool>       Resend(Call& call, RequestAttempt& attempt);          // to the same server on a new connection; false: not sent
     void                  UpdateServerLimit(const RequestAttempt& attempt, const ServerAnswer& answer);
-    void                  CancelLateAttempts(Call& call, TimePoint now);          // paused attempts that would soon begin too late
-    awaitable<AttemptEnd> ReadStalledAttempts(Call& call);                        // with whichever paused server has something first
-    awaitable<AttemptEnd> RelayUntilStall(Call& call, RequestAttemptPtr attempt); // until it ends or pauses
-    AttemptEnd            FinishAttempt(Call& call, const RequestAttempt& attempt, AttemptEnd end, bool reached);
-    void                  CancelStalledAttempts(Call& call); // another server has an event, or the call is over
-    TimePoint             LatestBegin(const Call& call, const RequestAttempt& attempt) const;
-    TimePoint             AttemptDeadline(const Call& call, const RequestAttempt& attempt) const; // it is given up then
-    TimePoint             StallDeadline(const Call& call, const RequestAttempt& attempt) const;   // and set aside then, if nothing comes
+    void                  CancelLateAttempts(Call& call, TimePoint now);          // stalled attempts that would soon pass their LatestBegin()
+    awaitable<AttemptEnd> ReadStalledAttempts(Call& call);                        // in turn, until one ends or another server may be tried
+    awaitable<AttemptEnd> RelayUntilStall(Call& call, RequestAttemptPtr attempt); // until it ends or stalls; keeps a stalled one
+    AttemptEnd            FinishAttempt(Call& call, const RequestAttempt& attempt, AttemptEnd end, bool reached); // reports the outcome
+    void                  CancelStalledAttempts(Call& call);                                  // another server sent an event, or the request is over
+    TimePoint             LatestBegin(const Call& call, const RequestAttempt& attempt) const; // cancelled by then unless it has begun
+    TimePoint             AttemptDeadline(const Call& call, const RequestAttempt& attempt) const; // the attempt fails then
+    TimePoint             StallDeadline(const Call& call, const RequestAttempt& attempt) const;   // it counts as stalled if nothing comes by then
     ForwardFields         ForwardFieldsFor(const Call& call, std::string_view server_id, TimePoint now) const;
-    HttpCallOptions       CallOptionsFor(Call& call) const; // refers to the call
+    HttpCallOptions       CallOptionsFor(Call& call) const; // the result refers to the call
     awaitable<AttemptEnd> Relay(Call& call, RequestAttempt& attempt);
     awaitable<AttemptEnd> RelayWhole(Call& call, RequestAttempt& attempt);
     awaitable<AttemptEnd> RelayStream(Call& call, RequestAttempt& attempt);
-    awaitable<bool>       SendEvents(Call& call, const HttpResponse& head, const std::string& events, TimePoint heard); // false: caller gone
-    awaitable<std::optional<ServerEntry>> FindNextServer(Call& call, AttemptEnd end); // nothing: none is allowed, or none takes it
-    awaitable<std::optional<ServerEntry>> FindNextServerWithWait(Call&      call,
-                                                                 AttemptEnd end); // the same, for as long as a begun stream's caller waits
+    awaitable<bool>       SendEvents(Call& call, const HttpResponse& head, const std::string& events, TimePoint received); // false: caller gone
+
+    // Retries and the final answer (direct_serve.cpp)
+    awaitable<std::optional<ServerEntry>> FindNextServer(Call& call, AttemptEnd end);         // nullopt: no retry is allowed, or no server takes it
+    awaitable<std::optional<ServerEntry>> FindNextServerWithWait(Call& call, AttemptEnd end); // repeats it while MayKeepSearching()
     bool                                  MayKeepSearching(const Call& call, TimePoint now) const;
     awaitable<void>                       SendFinalAnswer(Call& call, AttemptEnd end);
     awaitable<void>                       SendAnswer(Call& call, HttpResponse res);
-    bool                                  TakeRetry(Call& call, AttemptEnd end, TimePoint now);
-    NoRetryReason                         FindNoRetryReason(const Call& call, AttemptEnd end, TimePoint now) const; // but for the budget
+    bool                                  TakeRetry(Call& call, AttemptEnd end, TimePoint now); // true: allowed, and the budget is charged
+    NoRetryReason FindNoRetryReason(const Call& call, AttemptEnd end, TimePoint now) const;     // apart from blocks and the budget
 };
 
 } // namespace aldervale
--- a/src/request/event_splitter.cpp
+++ b/src/request/event_splitter.cpp
@@ -1,4 +1,4 @@
-// Cutting an event stream into events. See event_splitter.h.
+// Splitting an event stream into events. See event_splitter.h.
 #include "request/event_splitter.h"
 #include <algorithm>
 
@@ -8,8 +8,9 @@
 namespace
 {
 
-constexpr size_t kCompactAt = 16 * 1024; // bytes already returned after which the buffer is moved down
+constexpr size_t kCompactAt = 16 * 1024; // returned bytes at the front of the buffer after which it is compacted
 
+// Value of the first field of that name; empty: none.
 std::string_view FieldValue(std::string_view event, std::string_view name)
 {
     while (!event.empty())
@@ -29,7 +30,7 @@
     return {};
 }
 
-// Position after the empty line that ends the first event; npos: it isn't whole.
+// Position after the empty line that ends the first event; npos: the event is incomplete.
 size_t EventEnd(std::string_view text)
 {
     const size_t plain = text.find("\n\n");
--- a/src/request/event_splitter.h
+++ b/src/request/event_splitter.h
@@ -1,7 +1,7 @@
-// aldervale: cuts an event stream into whole events
+// aldervale: splits a server-sent event stream into whole events
 //
-// Pure. Events end with an empty line. Bytes of an event that isn't whole yet are kept until the rest arrives; what is left when the
-// stream breaks is never handed on.
+// Pure: no I/O. Events end with an empty line. The bytes of an incomplete event are buffered until the rest arrives; if the stream breaks before,
+// they are never returned.
 //
 // Usage:
 //   EventSplitter s;
@@ -19,7 +19,7 @@
 struct StreamEvent
 {
     std::string m_Bytes; // as received, with the empty line that ends it
-    std::string m_Id;    // value of its id field; empty: none
+    std::string m_Id;    // value of the id field; empty: none
 };
 
 class EventSplitter
@@ -27,7 +27,7 @@
 public:
     void                       Feed(std::string_view bytes) { m_Buf.append(bytes); }
     std::optional<StreamEvent> Next();
-    size_t                     PendingBytes() const { return m_Buf.size() - m_Head; } // bytes of an event that isn't whole
+    size_t                     PendingBytes() const { return m_Buf.size() - m_Head; } // buffered bytes of an incomplete event
 
 private:
     std::string m_Buf;      // bytes not yet returned, from m_Head on
--- a/src/request/router_serve.cpp
+++ b/src/request/router_serve.cpp
@@ -14,13 +14,13 @@
 namespace
 {
 
-constexpr auto     kCallerGonePoll       = milliseconds(100); // how often a waiting request looks whether its caller left
-constexpr uint32_t kRetryAfterMs         = 1000;              // sent to callers when nothing better is known
-constexpr size_t   kBufferMaxBytes       = 1024 * 1024;       // answers up to this are sent whole, with a length
+constexpr auto     kCallerGonePoll       = milliseconds(100); // interval at which a waiting request checks whether its caller disconnected
+constexpr uint32_t kRetryAfterMs         = 1000;              // sent to callers when there is no better estimate
+constexpr size_t   kBufferMaxBytes       = 1024 * 1024;       // answers up to this size are sent when complete, with Content-Length
 constexpr uint32_t kProbeDeadlineMs      = 1000;              // deadline of a probe
-constexpr auto     kDemandWindow         = milliseconds(250); // how often demand is measured
-constexpr auto     kDemandResendInterval = seconds(3);        // unchanged demand is sent again after this
-constexpr double   kDemandChangeShare    = 0.1;               // share of change that is sent at once
+constexpr auto     kDemandWindow         = milliseconds(250); // interval of measuring demand
+constexpr auto     kDemandResendInterval = seconds(3);        // interval at which unchanged demand is sent again
+constexpr double   kDemandChangeShare    = 0.1;               // relative change that is sent at once
 
 using Fields = std::vector<std::unique_ptr<wire::FieldT>>;
 
@@ -95,11 +95,11 @@
 };
 using WaiterPtr = std::shared_ptr<Waiter>;
 
-struct RequestState // lives as long as one caller's request
+struct RequestState // of one caller's request
 {
     HttpRequest&             m_Req;               //
     HttpReply&               m_Reply;             //
-    ConfigPtr                m_Config;            // the one snapshot it is served under
+    ConfigPtr                m_Config;            // configuration snapshot that the request is served under
     std::string              m_ServiceName;       //
     const ServiceSpec*       m_Service = nullptr; // in m_Config
     std::string              m_AccountName;       //
@@ -109,14 +109,14 @@
     TimePoint                m_Started{};         //
     TimePoint                m_Deadline{};        //
     RequestRecord            m_Record;            //
-    bool                     m_Begun = false;     // a byte of the answer went to the caller
-    TimePoint                m_FirstByte{};       // when
+    bool                     m_Begun = false;     // part of the answer was sent to the caller
+    TimePoint                m_FirstByte{};       // when the first body byte was received
 };
 
 struct AttemptResult
 {
-    bool  m_Done = false; // the answer is with the caller, whole
-    Error m_Error;        // otherwise
+    bool  m_Done = false; // the complete answer was sent to the caller
+    Error m_Error;        // why not, otherwise
 };
 
 struct RouterServe::Impl : std::enable_shared_from_this<RouterServe::Impl>
@@ -183,7 +183,7 @@
 };
 
 //-----------------------------------------------------------------------------
-// Who asks for what
+// Identification
 //-----------------------------------------------------------------------------
 
 std::optional<Error> RouterServe::Impl::Identify(RequestState& st) const
@@ -240,7 +240,7 @@
     return std::max<size_t>(4, replicas * static_cast<size_t>(m_Settings.m_RequestsPerReplica) * 5 / 4 / routers);
 }
 
-// Waits for room. An error means that nothing was sent to anybody.
+// Waits in the fair queue for capacity. An error means that the request wasn't sent to any box.
 awaitable<std::optional<Error>> RouterServe::Impl::EnterQueue(RequestState& st)
 {
     WaiterPtr  waiter;
@@ -265,7 +265,7 @@
         id = m_NextWaiter++;
         if (!sq.m_Queue.Push(id, st.m_AccountName, st.m_Account->m_Weight, st.m_Account->m_Priority == 0))
         {
-            Error e          = MakeError(ErrorCode_Limited, "too many requests wait here");
+            Error e          = MakeError(ErrorCode_Limited, "too many requests are queued at this router");
             e.m_RetryAfterMs = kRetryAfterMs;
             co_return e;
         }
@@ -283,7 +283,7 @@
     sq.m_Waiters.erase(id);
     if (sq.m_Queue.Remove(id))
     {
-        Error e          = MakeError(ErrorCode_Timeout, "no room before the deadline");
+        Error e          = MakeError(ErrorCode_Timeout, "no capacity became free before the deadline");
         e.m_RetryAfterMs = kRetryAfterMs;
         co_return e;
     }
@@ -335,7 +335,7 @@
     const size_t               at      = st.m_Req.m_Body.find(kPrompt);
     if (at != std::string::npos)
     {
-        // The engine hashes the decoded prompt; for prompts without escapes in their first bytes this is the same text.
+        // The engine hashes the decoded prompt. The raw JSON text is the same unless the first bytes contain escapes.
         const size_t quote = st.m_Req.m_Body.find('"', at + kPrompt.size());
         if (quote != std::string::npos)
         {
@@ -391,8 +391,8 @@
     co_return result;
 }
 
-// Passes the frames of one exchange on to the caller. Small answers are held back until they are whole, so that a failure before that
-// can still be tried elsewhere; event streams go out piece by piece.
+// Relays the frames of one exchange to the caller. Answers up to kBufferMaxBytes are held until complete, so that the request can still be retried on
+// another box after a failure; event streams are forwarded piece by piece.
 awaitable<AttemptResult> RouterServe::Impl::Relay(RequestState& st, const LinkPtr& link, const MailboxPtr& box)
 {
     AttemptResult result;
@@ -474,7 +474,7 @@
             continue;
         if (!end->complete() || !head_received || end->length() != received)
         {
-            const std::string reason = end->reason() != nullptr ? end->reason()->str() : "answer is not whole";
+            const std::string reason = end->reason() != nullptr ? end->reason()->str() : "answer is incomplete";
             const ErrorCode   code   = end->error() != nullptr ? ParseErrorCode(end->error()->string_view()) : ErrorCode_Corrupt;
             const Verdict     v      = end->complete() ? Verdict_MayHaveRun : static_cast<Verdict>(end->verdict());
             result.m_Error           = MakeError(code, reason, {}, v);
@@ -506,12 +506,12 @@
         st.m_Reply.Abort();
         co_return;
     }
-    Error sent = e;
-    if (sent.m_RetryAfterMs == 0 && (e.m_Code == ErrorCode_Unavailable || e.m_Code == ErrorCode_Limited))
-        sent.m_RetryAfterMs = kRetryAfterMs;
+    Error caller_error = e;
+    if (caller_error.m_RetryAfterMs == 0 && (e.m_Code == ErrorCode_Unavailable || e.m_Code == ErrorCode_Limited))
+        caller_error.m_RetryAfterMs = kRetryAfterMs;
     if (e.m_Code == ErrorCode_Stale)
-        sent.m_Code = ErrorCode_Unavailable; // a matter between router and agent, not the caller's conflict
-    HttpResponse res = ErrorResponse(sent);
+        caller_error.m_Code = ErrorCode_Unavailable; // the router's data was stale; for the caller this isn't a conflict
+    HttpResponse res = ErrorResponse(caller_error);
     co_await st.m_Reply.Send(res);
 }
 
@@ -545,15 +545,15 @@
     co_await SendError(st, last.m_Error);
 }
 
-// `refused`: this call is refused here; the home is only asked what became of the key.
+// `refused`: the call was refused on this router, and the home is only asked for the state of the key.
 awaitable<void> RouterServe::Impl::ServeKeyed(RequestState& st, const Error* refused)
 {
     const std::string           home = HomeOf(*st.m_Service, st.m_Key);
     const std::optional<Chosen> to   = m_Replicas.Take(home);
     if (!to)
     {
-        const Error lost = MakeError(ErrorCode_Unavailable, "the key's home " + home + " can't be reached; repeat the call with the same key", {},
-                                     Verdict_MayHaveRun);
+        const Error lost =
+            MakeError(ErrorCode_Unavailable, "the key's home " + home + " can't be reached; retry with the same key", {}, Verdict_MayHaveRun);
         co_await SendError(st, lost);
         co_return;
     }
@@ -579,12 +579,12 @@
     std::optional<Error> refused = Identify(st);
     if (refused)
     {
-        co_await SendError(st, *refused); // nothing with this key and these credentials can have run
+        co_await SendError(st, *refused); // no call with this key and these credentials can have run
         co_return;
     }
     if (!m_Ready())
     {
-        refused = MakeError(ErrorCode_Unavailable, "this router has not learned the newest configuration yet");
+        refused = MakeError(ErrorCode_Unavailable, "this router has not received the newest configuration yet");
     }
     else if (const auto wait = m_Limits.Admit(st.m_AccountName, *st.m_Account, Now()))
     {
@@ -633,11 +633,12 @@
     m_Usage.Record(st.m_Record, now);
 }
 
-// Tells the other routers when demand has changed by more than a tenth somewhere, and now and then all the same.
+// Sends the accounts' demand to the other routers when one account's rate has changed by more than kDemandChangeShare, and every
+// kDemandResendInterval.
 awaitable<void> RouterServe::Impl::DemandLoop()
 {
-    std::map<std::string, double> sent;
-    TimePoint                     sent_at{};
+    std::map<std::string, double> last_sent;
+    TimePoint                     last_sent_at{};
     for (;;)
     {
         co_await SleepFor(kDemandWindow);
@@ -653,14 +654,14 @@
             now[r.m_Account] = r.m_Rate;
             msg.accounts.push_back(std::move(a));
         }
-        bool changed = now.size() != sent.size();
+        bool changed = now.size() != last_sent.size();
         for (const auto& [account, rate] : now)
-            changed = changed || std::abs(rate - sent[account]) > kDemandChangeShare * std::max(1.0, sent[account]);
-        const bool due = !now.empty() && Now() - sent_at > kDemandResendInterval;
+            changed = changed || std::abs(rate - last_sent[account]) > kDemandChangeShare * std::max(1.0, last_sent[account]);
+        const bool due = !now.empty() && Now() - last_sent_at > kDemandResendInterval;
         if (!changed && !due)
             continue;
-        sent                   = now;
-        sent_at                = Now();
+        last_sent              = now;
+        last_sent_at           = Now();
         const FrameBytes frame = EncodeFrame(0, msg);
         for (const LinkPtr& link : m_Node.Links(wire::PeerRole::Router))
             link->Send(frame);
--- a/src/request/router_serve.h
+++ b/src/request/router_serve.h
@@ -1,11 +1,12 @@
-// aldervale: callers' requests on a router: who asks, may they, where to, try again or not, stream back
+// aldervale: serves callers' requests on a router that reaches backend servers through agents
 //
-// The way of a request: token -> client account; path -> service; limit; fair queue; choice of a replica (or the key's home); one
-// exchange on the link to that box's agent; answer. Every answer carries Aldervale-Verdict, as a field, or for streams as a trailer; a
-// stream without its end mark is broken, never short.
+// Steps of a request: authentication (token to client account), route lookup (path to service), rate limit, fair queue, choice of a replica (or of
+// the key's home), one exchange on the link to that box's agent, answer. Every answer carries Aldervale-Verdict, as a header field or, for streams,
+// as a trailer; a stream without its end mark is reported as broken, never as a short answer.
 //
-// For keyed calls "not run" must hold for the key, not only for this attempt. So a refusal that comes before the home was asked becomes
-// a probe: the home looks the key up and says replay, not run, or may have run. Where the home can't be asked the verdict is MayHaveRun.
+// For keyed calls (with an Idempotency-Key) "not run" must hold for the key, not only for this attempt. The home of a key is the one box that may run
+// it. So a call that is refused here is sent to the home as a probe: the home looks up the key and answers replay, not run, or may have run. If the
+// home can't be asked the verdict is MayHaveRun.
 //
 // Usage (src/programs/router.cpp):
 //   RouterServe serve(daemon, settings, node, usage);
@@ -29,13 +30,13 @@
 
 struct RouterServeSettings
 {
-    std::string m_Policy             = "cost"; // [route.policy]
-    int64_t     m_Choices            = 2;      // [route.choices]
-    double      m_WarmBonus          = 6.0;    // [route.warm_bonus]
-    int64_t     m_RequestsPerReplica = 16;     // requests at one replica over all routers [route.per_replica]
-    int64_t     m_MaxWaiting         = 2000;   // [queue.max_waiting]
-    int64_t     m_MaxAttempts        = 3;      // [retry.max_attempts]
-    int64_t     m_WindowKib          = 256;    // answer bytes under way per request [serve.window_kib]
+    std::string m_Policy             = "cost"; // how replicas are chosen [route.policy]
+    int64_t     m_Choices            = 2;      // random candidates compared per request [route.choices]
+    double      m_WarmBonus          = 6.0;    // value of a cached prompt prefix, in requests [route.warm_bonus]
+    int64_t     m_RequestsPerReplica = 16;     // concurrent requests at one replica over all routers [route.per_replica]
+    int64_t     m_MaxWaiting         = 2000;   // requests in the queues of this router [queue.max_waiting]
+    int64_t     m_MaxAttempts        = 3;      // per request, the first one included [retry.max_attempts]
+    int64_t     m_WindowKib          = 256;    // flow-control window of an answer, KiB [serve.window_kib]
 };
 
 std::vector<SettingSpec> DescribeRouterServe(RouterServeSettings& s);
@@ -52,7 +53,7 @@
 
     void            Start();
     awaitable<void> Handle(HttpRequest& req, HttpReply& reply);
-    bool            OnFrame(const LinkPtr& link, const FrameBuf& frame); // false: not about requests
+    bool            OnFrame(const LinkPtr& link, const FrameBuf& frame); // false: not a frame of this part
     void            OnLinkUp(const LinkPtr& link);
     void            OnLinkDown(const LinkPtr& link);
     void            OnHeartbeat(const LinkPtr& link, const wire::Heartbeat& hb);
--- a/tests/test_requests.cpp
+++ b/tests/test_requests.cpp
@@ -1,5 +1,5 @@
-// The request path in one process over real sockets: router, agent and a plain service stand-in, with answers lost, services down,
-// repeats at the same moment, and agents that restart without their journal.
+// Tests the request path in one process over real sockets: routers, an agent and a stand-in of a plain service. Covers lost answers, closed
+// connections, simultaneous calls with one key, agents that restart without their journal, and draining boxes.
 #include "external/engine.h"
 #include "request/agent_serve.h"
 #include "request/router_serve.h"
@@ -12,7 +12,7 @@
 {
 
 const std::string kToken  = "secret";
-constexpr int64_t kSkewMs = 20; // keys are minted by the same clock here
+constexpr int64_t kSkewMs = 20; // keys are minted with the same clock here
 
 struct Agent
 {
@@ -140,7 +140,7 @@
         for (auto& r : m_Routers)
             BOOST_REQUIRE(Eventually([&] { return r->m_Node->Usable("loan-0"); }));
         BOOST_REQUIRE(Eventually([&] { return m_Agent->m_Node->Config()->m_Revision == 1; }));
-        std::this_thread::sleep_for(milliseconds(2 * kSkewMs)); // keys minted from here on are past the journal's horizon
+        std::this_thread::sleep_for(milliseconds(2 * kSkewMs)); // keys minted from here on are newer than the journal's horizon
     }
 
     void RestartAgent()
@@ -264,7 +264,7 @@
     BOOST_CHECK_EQUAL(Call(0, "POST", key).m_Verdict, "may-have-run");
     BOOST_CHECK_EQUAL(Runs(key), 0u);
     Service(R"({"lose_before": 0.0})");
-    BOOST_CHECK_EQUAL(Call(0, "GET", "").m_Verdict, "ran"); // a repeatable call is tried again or simply works
+    BOOST_CHECK_EQUAL(Call(0, "GET", "").m_Verdict, "ran"); // a repeatable call is retried if it fails
 }
 
 BOOST_FIXTURE_TEST_CASE(restarted_agent_never_runs_an_old_key, PathFixture)
@@ -274,7 +274,7 @@
     BOOST_CHECK_EQUAL(Call(0, "POST", ran).m_Verdict, "ran");
     RestartAgent();
     BOOST_CHECK_EQUAL(Call(1, "POST", ran).m_Verdict, "may-have-run");
-    BOOST_CHECK_EQUAL(Call(1, "POST", waiting).m_Verdict, "may-have-run"); // it did not run, but the journal can't know
+    BOOST_CHECK_EQUAL(Call(1, "POST", waiting).m_Verdict, "may-have-run"); // it did not run, but a new journal has no record of that
     BOOST_CHECK_EQUAL(Runs(ran), 1u);
     BOOST_CHECK_EQUAL(Runs(waiting), 0u);
     BOOST_CHECK_EQUAL(Call(0, "POST", NewKey()).m_Verdict, "ran");
@@ -324,7 +324,7 @@
     for (int i = 0; i < 40; i++)
         keys.push_back(NewKey());
     std::mutex                         mutex;
-    std::map<std::string, std::string> last; // verdict of the last answer, by key
+    std::map<std::string, std::string> last; // verdict by key; once "not-run", it stays
     std::vector<std::future<void>>     callers;
     for (size_t c = 0; c < 6; c++)
         callers.push_back(std::async(std::launch::async,
