--- a/src/request/direct_serve.cpp
+++ b/src/request/direct_serve.cpp
@@ -11,17 +11,16 @@
 namespace
 {
 
-constexpr auto kNotReadyRetryAfter    = milliseconds(300); // Retry-After of a router that has no declarations yet
-constexpr auto kBlockedRetryAfter     = seconds(60);       // Retry-After of requests blocked because they crash servers
-constexpr auto kCrashCheckPoll        = milliseconds(5);   // interval of polling for the end of a crash check
-constexpr auto kStalledSearchInterval = milliseconds(500); // between searches for another server while attempts are stalled
-constexpr auto kLostSearchMinPause =
-    milliseconds(100); // first pause between searches after the server was lost; doubles, as others may have lost it, too
-constexpr auto     kWeightsCheckLead    = milliseconds(2500); // from this long before a weights deadline on, servers check their version
-constexpr unsigned kAssumedRouters      = 8;                  // routers that share the retry budget, until reports give their number
-constexpr double   kBudgetRebuildFactor = 1.5;                // growth of the router count at which the budgets are rebuilt
-constexpr double   kBudgetShare         = 0.8;                // part of the declared budget that all routers use together: its windows slide
-constexpr double   kBudgetReserveShare  = 0.25;               // part of that reserved for answers that have begun
+constexpr auto     kNotReadyRetryAfter    = milliseconds(300);  // Retry-After of a router that has no declarations yet
+constexpr auto     kBlockedRetryAfter     = seconds(60);        // Retry-After of requests blocked because they crash servers
+constexpr auto     kCrashCheckPoll        = milliseconds(5);    // interval of polling for the end of a crash check
+constexpr auto     kStalledSearchInterval = milliseconds(500);  // between searches for another server while attempts are stalled
+constexpr auto     kLostSearchMinPause    = milliseconds(100);  // first pause between searches after a server was lost; doubles, as many may search
+constexpr auto     kWeightsCheckLead      = milliseconds(2500); // from this long before a weights deadline on, servers check their version
+constexpr unsigned kAssumedRouters        = 8;                  // routers that share the retry budget, until reports give their number
+constexpr double   kBudgetRebuildFactor   = 1.5;                // growth of the router count at which the budgets are rebuilt
+constexpr double   kBudgetShare           = 0.8;                // part of the declared budget that all routers use together: its windows slide
+constexpr double   kBudgetReserveShare    = 0.25;               // part of that reserved for answers that have begun
 
 constexpr std::string_view kFailureCauseNames[]  = {"none",  "silence", "closed",   "refused",    "unreachable",
                                                     "fault", "spoilt",  "deadline", "caller-gone"};
@@ -102,8 +101,7 @@
         RetryConfig  cfg;
         cfg.m_PerRequest = m_Settings.m_RetryRatio * kBudgetShare;
         cfg.m_BudgetMax  = std::max(1.0, m_Settings.m_RetryExtra * kBudgetShare / routers);
-        cfg.m_Reserve    = std::min(cfg.m_BudgetMax * kBudgetReserveShare,
-                                    cfg.m_BudgetMax - 1); // even a small share leaves one token for answers that haven't begun
+        cfg.m_Reserve    = std::min(cfg.m_BudgetMax * kBudgetReserveShare, cfg.m_BudgetMax - 1); // leaves one token for any request
         cfg.m_MinLeft    = kMinTimeForAttempt;
         b                = std::make_unique<RetryBudget>(cfg);
     }
@@ -285,8 +283,8 @@
 awaitable<std::optional<ServerEntry>> DirectServe::Impl::FindNextServerWithWait(Call& call, AttemptEnd end)
 {
     std::optional<ServerEntry> server = co_await FindNextServer(call, end);
-    for (Duration pause = kLostSearchMinPause; !server && !call.m_Abort.Aborted() && MayKeepSearching(call, Now());
-         pause *= 2) // each search asks up to nine boxes
+    // The pause doubles because each search asks up to nine boxes.
+    for (Duration pause = kLostSearchMinPause; !server && !call.m_Abort.Aborted() && MayKeepSearching(call, Now()); pause *= 2)
     {
         co_await SleepFor(pause);
         server = co_await FindNextServer(call, end);
--- a/src/request/router_serve.cpp
+++ b/src/request/router_serve.cpp
@@ -97,20 +97,20 @@
 
 struct RequestState // of one caller's request
 {
-    HttpRequest&             m_Req;               //
-    HttpReply&               m_Reply;             //
-    ConfigPtr                m_Config;            // configuration snapshot that the request is served under
-    std::string              m_ServiceName;       //
-    const ServiceSpec*       m_Service = nullptr; // in m_Config
-    std::string              m_AccountName;       //
-    const ClientAccountSpec* m_Account = nullptr; // in m_Config
-    std::string              m_Key;               // keyed calls only
-    bool                     m_Keyed = false;     //
-    TimePoint                m_Started{};         //
-    TimePoint                m_Deadline{};        //
-    RequestRecord            m_Record;            //
-    bool                     m_Begun = false;     // part of the answer was sent to the caller
-    TimePoint                m_FirstByte{};       // when the first body byte was received
+    HttpRequest&             m_Req;                 //
+    HttpReply&               m_Reply;               //
+    ConfigPtr                m_Config;              // configuration snapshot that the request is served under
+    std::string              m_ServiceName;         //
+    const ServiceSpec*       m_Service = nullptr;   // in m_Config
+    std::string              m_AccountName;         //
+    const ClientAccountSpec* m_Account = nullptr;   // in m_Config
+    std::string              m_Key;                 // keyed calls only
+    bool                     m_Keyed = false;       //
+    TimePoint                m_Started{};           //
+    TimePoint                m_Deadline{};          //
+    RequestRecord            m_Record;              //
+    bool                     m_AnswerBegun = false; // part of the answer was sent to the caller
+    TimePoint                m_FirstByte{};         // when the first body byte was received
 };
 
 struct AttemptResult
@@ -428,7 +428,7 @@
             {
                 HttpFields fields = res.m_Fields;
                 fields.push_back({"Trailer", "Aldervale-Verdict"});
-                st.m_Begun = true;
+                st.m_AnswerBegun = true;
                 if (!co_await st.m_Reply.Start(res.m_Status, fields))
                 {
                     result.m_Error = MakeError(ErrorCode_Unavailable, "caller left", {}, Verdict_MayHaveRun);
@@ -450,8 +450,8 @@
                 res.m_Body.append(bytes);
             if (res.m_Body.size() > kBufferMaxBytes)
             {
-                streaming  = true;
-                st.m_Begun = true;
+                streaming        = true;
+                st.m_AnswerBegun = true;
                 co_await st.m_Reply.Start(res.m_Status, res.m_Fields);
                 co_await st.m_Reply.Write(res.m_Body);
                 res.m_Body.clear();
@@ -500,7 +500,7 @@
 awaitable<void> RouterServe::Impl::SendError(RequestState& st, const Error& e)
 {
     st.m_Record.m_Verdict = e.m_Verdict;
-    if (st.m_Begun)
+    if (st.m_AnswerBegun)
     {
         LogEvent(Event_AnswerBroken, {{"service", st.m_ServiceName}, {"reason", e.m_Message}});
         st.m_Reply.Abort();
@@ -537,7 +537,7 @@
             co_return;
         }
         q.m_Tried.insert(to->m_Box);
-        const AttemptOutcome outcome{last.m_Error.m_Verdict, !st.m_Keyed, st.m_Begun, attempt};
+        const AttemptOutcome outcome{last.m_Error.m_Verdict, !st.m_Keyed, st.m_AnswerBegun, attempt};
         if (st.m_Reply.CallerGone() || !MayRetry(outcome, st.m_Deadline, Now(), m_Budget))
             break;
         LogEvent(Event_RequestRetried, {{"service", st.m_ServiceName}, {"box", to->m_Box}, {"reason", last.m_Error.m_Message}});
@@ -625,7 +625,7 @@
         first.Record(ToSeconds(st.m_FirstByte - st.m_Started));
     if (st.m_Service == nullptr)
         return;
-    const TimePoint answered_at = st.m_FirstByte != TimePoint{} && st.m_Begun ? st.m_FirstByte : now;
+    const TimePoint answered_at = st.m_FirstByte != TimePoint{} && st.m_AnswerBegun ? st.m_FirstByte : now;
     st.m_Record.m_Service       = st.m_ServiceName;
     st.m_Record.m_Account       = st.m_AccountName;
     st.m_Record.m_BytesIn       = st.m_Req.m_Body.size();
--- a/tests/test_requests.cpp
+++ b/tests/test_requests.cpp
@@ -231,7 +231,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(repeat_at_another_router_at_the_same_moment_runs_once, PathFixture)
+BOOST_FIXTURE_TEST_CASE(simultaneous_calls_with_one_key_at_two_routers_run_once, PathFixture)
 {
     for (int round = 0; round < 10; round++)
     {
@@ -257,7 +257,7 @@
     BOOST_CHECK_EQUAL(Runs(key), 1u);
 }
 
-BOOST_FIXTURE_TEST_CASE(connection_that_ends_before_the_work_may_have_run_for_all_we_know, PathFixture)
+BOOST_FIXTURE_TEST_CASE(connection_closed_before_the_work_is_reported_as_may_have_run, PathFixture)
 {
     Service(R"({"lose_before": 1.0})");
     const std::string key = NewKey();
@@ -280,7 +280,7 @@
     BOOST_CHECK_EQUAL(Call(0, "POST", NewKey()).m_Verdict, "ran");
 }
 
-BOOST_FIXTURE_TEST_CASE(home_out_of_reach_is_not_reported_as_not_run, PathFixture)
+BOOST_FIXTURE_TEST_CASE(unreachable_home_is_not_reported_as_not_run, PathFixture)
 {
     const std::string key = NewKey();
     BOOST_CHECK_EQUAL(Call(0, "POST", key).m_Verdict, "ran");
@@ -291,7 +291,7 @@
     m_Agent = std::make_unique<Agent>("loan-0", m_Link, m_Backend);
 }
 
-BOOST_FIXTURE_TEST_CASE(refusals_before_the_hand_over_are_not_run, PathFixture)
+BOOST_FIXTURE_TEST_CASE(refusals_before_sending_to_the_backend_are_not_run, PathFixture)
 {
     BOOST_CHECK_EQUAL(Call(0, "POST", "").m_Verdict, "not-run");
     BOOST_CHECK_EQUAL(Call(0, "POST", "no-uuid").m_Verdict, "not-run");
@@ -300,7 +300,7 @@
     BOOST_CHECK_EQUAL(Service().at("done").to_number<uint64_t>(), 0u);
 }
 
-BOOST_FIXTURE_TEST_CASE(draining_box_refuses_new_keys_replays_old_ones_and_cuts_off_nothing, PathFixture)
+BOOST_FIXTURE_TEST_CASE(draining_box_refuses_new_keys_replays_old_ones_and_aborts_nothing, PathFixture)
 {
     const std::string key = NewKey();
     BOOST_CHECK_EQUAL(Call(0, "POST", key).m_Verdict, "ran");
@@ -317,7 +317,7 @@
     BOOST_CHECK(Eventually([&] { return m_Agent->m_Serve->InFlight() == 0; }));
 }
 
-BOOST_FIXTURE_TEST_CASE(storm_of_repeats_and_faults, PathFixture)
+BOOST_FIXTURE_TEST_CASE(concurrent_repeats_with_faults_never_run_a_key_twice, PathFixture)
 {
     Service(R"({"lose_answers": 0.2, "lose_before": 0.1})");
     std::vector<std::string> keys;
