--- a/src/request/direct_attempt.cpp
+++ b/src/request/direct_attempt.cpp
@@ -118,7 +118,8 @@
     return TimePoint::max();
 }
 
-// A repeatable stream that hasn't begun ends at LatestBegin(), as it can run elsewhere; all other attempts end at the deadline of the request.
+// A repeatable stream that hasn't begun ends at LatestBegin(), as it can run on another server; all other attempts end at the deadline of the
+// request.
 TimePoint DirectServe::Impl::AttemptDeadline(const Call& call, const RequestAttempt& attempt) const
 {
     const TimePoint end_at         = AttemptEnds(call.m_Deadline, call.m_HeadSent);
--- a/src/request/direct_place.cpp
+++ b/src/request/direct_place.cpp
@@ -164,12 +164,12 @@
         call.m_BoxesAnswered = query.m_Answered.size();
         call.m_AskDuration   = Now() - began;
     }
-    call.m_ClaimGranted = false;
-    call.m_BoxesClaimed = 0;
-    const bool claim    = !query.m_Answered.empty() && m_Choice.PlacesScarce(query.m_Best, need);
+    call.m_ClaimGranted   = false;
+    call.m_BoxesClaimed   = 0;
+    const bool must_claim = !query.m_Answered.empty() && m_Choice.PlacesScarce(query.m_Best, need);
     if (query.m_Answered.empty())
         call.m_Choice = m_Choice.Choose(m_World.m_Servers.Usable(call.m_Service->m_Name), need, Now());
-    else if (claim)
+    else if (must_claim)
         call.m_Choice = co_await ClaimPlace(call, need, query);
     else
         call.m_Choice = m_Choice.Decide(query.m_Best, need, Now());
--- a/src/request/direct_serve.cpp
+++ b/src/request/direct_serve.cpp
@@ -208,10 +208,10 @@
     static Counter& returned = Metrics().GetCounter("aldervale_callers_total", "taken_for=\"returned\"");
     if (!call.m_Service->m_Engine)
         return false;
-    const Duration left = call.m_Caller.m_Remaining.value_or(call.m_Route->m_Timeout);
-    const bool     back = m_RetryEstimate.OnAttempt(call.m_Route->m_Timeout, left, call.m_StartedAt);
-    (back ? returned : first).Add(1);
-    return back;
+    const Duration left     = call.m_Caller.m_Remaining.value_or(call.m_Route->m_Timeout);
+    const bool     is_retry = m_RetryEstimate.OnAttempt(call.m_Route->m_Timeout, left, call.m_StartedAt);
+    (is_retry ? returned : first).Add(1);
+    return is_retry;
 }
 
 // Shortly before a weights deadline and after it the server itself is asked to check its version: the router's information may be outdated.
--- a/src/request/direct_serve_internal.h
+++ b/src/request/direct_serve_internal.h
@@ -15,7 +15,7 @@
 
 enum AttemptEnd
 {
-    AttemptEnd_Answered,    // the caller has the whole answer
+    AttemptEnd_Answered,    // the caller has the complete answer
     AttemptEnd_NotRun,      // the server reported that it did not run the request, or was not reached
     AttemptEnd_MayHaveRun,  // no complete answer; the server may have run the request
     AttemptEnd_ServerError, // complete answer with an error status; kept in Call::m_ServerErrorAnswer
@@ -103,7 +103,7 @@
     bool        m_AdmittedAsRetry = false; // at the last admission: the caller was likely refused before, or the request was tried at a server
     unsigned    m_EventsSent      = 0;     // streams: number of events sent to the caller
     std::string m_LastEventId;             // streams: id of the last event sent, or the one that the caller asked to resume after
-    TimePoint   m_FirstByteAt{};           // when the first event or the whole answer was received for the caller
+    TimePoint   m_FirstByteAt{};           // when the first event or the complete answer was received for the caller
     Duration    m_LongestSentGap{};        // streams: longest time between events sent to the caller
     TimePoint   m_LastEventAt{};           // streams: when the last event sent to the caller was received
     std::optional<HttpResponse>   m_ServerErrorAnswer;                  // complete error answer of a server, sent if no better one is received
@@ -114,7 +114,7 @@
     size_t                        m_BoxesClaimed = 0;                   // boxes at which a place was claimed at the last admission
     bool                          m_ClaimGranted = false;               // one of the claims was granted
     Duration                      m_ClaimDuration{};                    // time until a claim was granted or all were refused
-    std::string                   m_FailureText;                        // last failure or refusal, as told to the caller and logged
+    std::string                   m_FailureText;                        // last failure or refusal, sent to the caller and logged
     FailureCause                  m_Cause         = FailureCause_None;  // why the last attempt failed
     NoRetryReason                 m_NoRetryReason = NoRetryReason_None; // why no other server was tried
     Duration                      m_SilenceAtEnd{};                     // from the last receipt (or the sending) to the end of the last attempt
