--- a/src/emulator/engine_model.cpp
+++ b/src/emulator/engine_model.cpp
@@ -22,7 +22,7 @@
 
 double EngineModel::ReadMs()
 {
-    double left = m_Costs.m_ReadMax; // tokens that this pass may still read
+    double left = m_Costs.m_PromptTokensPerPassMax; // tokens that this pass may still read
     double ms   = 0;
     for (InBatch& b : m_Batch)
     {
@@ -30,7 +30,7 @@
         if (read <= 0)
             continue;
         const double before = b.m_Request.m_Prompt - b.m_Unread; // tokens read before: each pair with a new one costs
-        ms += read / m_Costs.m_ReadPerMs + m_Costs.m_PairsPerMMs * read * (before + read / 2) / 1e6;
+        ms += read / m_Costs.m_ReadPerMs + m_Costs.m_MsPerMillionPairs * read * (before + read / 2) / 1e6;
         b.m_Unread -= read;
         left -= read;
     }
--- a/src/emulator/engine_model.h
+++ b/src/emulator/engine_model.h
@@ -1,6 +1,6 @@
 // aldervale: a model engine in virtual time, by its published costs
 //
-// Works in passes: lets waiting requests into the batch, reads up to m_ReadMax prompt tokens in the order of arrival, then plays
+// Works in passes: lets waiting requests into the batch, reads up to m_PromptTokensPerPassMax prompt tokens in the order of arrival, then plays
 // m_StepsPerPass token steps for all whose prompts are read. It drives emulations and tests of decisions; it has no socket and no clock.
 //
 // Usage:
--- a/src/emulator/pool_emulator.cpp
+++ b/src/emulator/pool_emulator.cpp
@@ -15,14 +15,14 @@
 namespace
 {
 
-constexpr auto     kWay         = milliseconds(2);    // of a request or an event between router and server
-constexpr auto     kAskWay      = milliseconds(1);    // of a question for a place, and of its answer
-constexpr auto     kWayToRouter = milliseconds(3);    // of a caller
-constexpr auto     kSubscribe   = milliseconds(1000); // a router that starts is heard of by boxes within this
-constexpr unsigned kAskRounds   = 3;                  // as direct_place.cpp
-constexpr auto     kLinePoll    = milliseconds(10);   // as place_answers.h
-constexpr auto     kBackAtOnce  = milliseconds(50);   // of callers that don't wait as told
-const auto         kBegin       = TimePoint{} + seconds(1000);
+constexpr auto     kWay               = milliseconds(2);    // of a request or an event between router and server
+constexpr auto     kAskWay            = milliseconds(1);    // of a question for a place, and of its answer
+constexpr auto     kWayToRouter       = milliseconds(3);    // of a caller
+constexpr auto     kSubscribe         = milliseconds(1000); // a router that starts is heard of by boxes within this
+constexpr unsigned kAskRounds         = 3;                  // as direct_place.cpp
+constexpr auto     kQueuePollInterval = milliseconds(10);   // as place_answers.h
+constexpr auto     kBackAtOnce        = milliseconds(50);   // of callers that don't wait as told
+const auto         kBegin             = TimePoint{} + seconds(1000);
 
 struct Rate
 {
@@ -166,20 +166,20 @@
 EngineCosts Costs(const LoadPattern& p, std::span<const Kind> kinds)
 {
     EngineCosts e;
-    e.m_Model         = "m";
-    e.m_Slots         = static_cast<unsigned>(p.m_Slots);
-    e.m_StepMs        = p.m_StepMs;
-    e.m_PerRequestMs  = 0.0219;
-    e.m_PerKContextMs = 0.0068;
-    e.m_ReadPerMs     = p.m_ReadPerMs;
-    e.m_PairsPerMMs   = 0.647;
-    e.m_StepsPerPass  = static_cast<unsigned>(p.m_StepsPerPass);
-    e.m_UsualPrompt   = 0;
-    e.m_UsualAnswer   = 0;
+    e.m_Model             = "m";
+    e.m_Slots             = static_cast<unsigned>(p.m_Slots);
+    e.m_StepMs            = p.m_StepMs;
+    e.m_PerRequestMs      = 0.0219;
+    e.m_PerKContextMs     = 0.0068;
+    e.m_ReadPerMs         = p.m_ReadPerMs;
+    e.m_MsPerMillionPairs = 0.647;
+    e.m_StepsPerPass      = static_cast<unsigned>(p.m_StepsPerPass);
+    e.m_MeanPromptTokens  = 0;
+    e.m_MeanAnswerTokens  = 0;
     for (const Kind& k : kinds)
     {
-        e.m_UsualPrompt += k.m_Share * k.m_Prompt;
-        e.m_UsualAnswer += k.m_Share * k.m_Answer;
+        e.m_MeanPromptTokens += k.m_Share * k.m_Prompt;
+        e.m_MeanAnswerTokens += k.m_Share * k.m_Answer;
     }
     return e;
 }
@@ -450,7 +450,7 @@
         return At(m_Now + kAskWay, [this, c, server, answer] { OnGrant(c, server, answer == ClaimAnswer_Granted); });
     m_InLine[key] = c;
     if (!s.m_Polls)
-        At(m_Now + kLinePoll, [this, server] { SettleLine(server); });
+        At(m_Now + kQueuePollInterval, [this, server] { SettleLine(server); });
     s.m_Polls = true;
 }
 
@@ -465,7 +465,7 @@
     }
     s.m_Polls = !s.m_Line.Empty();
     if (s.m_Polls)
-        At(m_Now + kLinePoll, [this, server] { SettleLine(server); });
+        At(m_Now + kQueuePollInterval, [this, server] { SettleLine(server); });
 }
 
 void Pool::ReleaseAt(size_t server, uint64_t id)
--- a/src/programs/platform_agent.cpp
+++ b/src/programs/platform_agent.cpp
@@ -59,14 +59,14 @@
     if (a.m_Known->Origin())
         a.m_Transfer->SetOrigin(*a.m_Known->Origin());
     a.m_Keeper->SetModel(a.m_Known->Model());
-    const VersionNamed newest = a.m_Known->Newest();
+    const DeclaredVersion newest = a.m_Known->Newest();
     if (newest.m_Version > 0)
-        a.m_Keeper->OnNamed(newest.m_Version, newest.m_At);
+        a.m_Keeper->OnTargetVersion(newest.m_Version, newest.m_At);
 }
 
-void OnTold(Agent& a, const ModelNaming& named)
+void OnRouterUpdate(Agent& a, const ModelNaming& named)
 {
-    const bool news = a.m_Known->OnTold(named, Now());
+    const bool news = a.m_Known->OnRouterUpdate(named, Now());
     UseKnown(a);
     if (!news)
         return;
@@ -76,10 +76,10 @@
 
 void OnConfig(Agent& a, const RouteTableSpec& spec, uint64_t row_version)
 {
-    const uint64_t before = a.m_Known->Declared();
-    a.m_Known->OnDeclared(spec);
+    const uint64_t before = a.m_Known->DeclarationsVersion();
+    a.m_Known->OnDeclarations(spec);
     UseKnown(a);
-    if (a.m_Known->Declared() > before)
+    if (a.m_Known->DeclarationsVersion() > before)
         LogEvent(Event_DeclarationsInForce, {{"version", spec.m_Version}, {"row_version", row_version}, {"model", a.m_Known->Model()}});
 }
 
@@ -90,9 +90,9 @@
 }
 
 // A neighbour may hear of a version sooner.
-void OnHeard(Agent& a, uint64_t version)
+void OnNeighbourVersion(Agent& a, uint64_t version)
 {
-    a.m_Known->OnHeard(version, Now());
+    a.m_Known->OnNeighbourVersion(version, Now());
     UseKnown(a);
 }
 
@@ -100,7 +100,7 @@
 void OnOperatorTable(Agent& a, const RowRead& read)
 {
     a.m_Tables->UseOperatorRows(read);
-    a.m_Known->OnReadAll(Now());
+    a.m_Known->OnFullRead(Now());
 }
 
 void FollowPeers(Agent& a)
@@ -116,7 +116,7 @@
 bool ReadsList(const Agent& a)
 {
     const uint64_t held = a.m_Servers.StoreVersion();
-    return held == 0 || (!a.m_Transfer->UnderWay() && a.m_News.Reads(held, 0, Now()));
+    return held == 0 || (!a.m_Transfer->IsFetching() && a.m_News.Reads(held, 0, Now()));
 }
 
 void OnServersNews(Agent& a, const wire::ServersNews& news, Duration checked_age, const Endpoint& from)
@@ -138,8 +138,8 @@
     p.m_List.m_Urgent         = [&a] { return ReadsList(a); };
     p.m_List.m_Calm           = [] { return Duration(kListRest); };
     p.m_List.m_Known          = [&a] { return std::optional(a.m_Servers.StoreVersion()); };
-    p.m_Operator.m_Urgent     = [&a] { return a.m_Known->ReadsAll(Now()); };
-    p.m_Operator.m_Calm       = [&a] { return a.m_Known->ToldLately(Now()) ? Duration(kWeightsLookTold) : Duration(kWeightsLook); };
+    p.m_Operator.m_Urgent     = [&a] { return a.m_Known->NeedsFullRead(Now()); };
+    p.m_Operator.m_Calm       = [&a] { return a.m_Known->HasRecentRouterUpdate(Now()) ? Duration(kWeightsLookTold) : Duration(kWeightsLook); };
     p.m_Operator.m_CalmKeys   = platform::WeightsKeys(); // declarations are long: 76 agents reading 1,690 routes fill a link of 27 Mbit/s for 9 s
     p.m_Operator.m_Wait       = milliseconds(15'000);    // a loss that goes unseen matters less here than on a router
     p.m_Operator.m_WholeAfter = 1;                       // a series goes on for a hundred versions while an agent pauses
@@ -155,7 +155,7 @@
     h.m_OnOperatorTable = [&a](const RowRead& read, TableRead) { OnOperatorTable(a, read); };
     h.m_OnConfig        = [&a](const RouteTableSpec& spec, uint64_t row_version) { OnConfig(a, spec, row_version); };
     h.m_OnNamed         = [&a](const platform::NamedWeights& named) { OnNamed(a, named); };
-    h.m_OnOperatorRead  = [&a] { a.m_Known->OnRead(); };
+    h.m_OnOperatorRead  = [&a] { a.m_Known->OnVersionRowsRead(); };
     h.m_OnServers       = [&a](bool) { FollowPeers(a); };
     h.m_OnListRead      = [&a](uint64_t, TimePoint asked) { a.m_News.OnOwnRead(asked); };
     a.m_Publisher->SetOnServers([&a](const wire::ServersNews& news, Duration age, const Endpoint& from) { OnServersNews(a, news, age, from); });
@@ -174,10 +174,10 @@
     a.m_Transfer = std::make_unique<PieceTransfer>(daemon.Ioc(), a.m_Origin, *a.m_Server, ProcessName{internal.value().ToString(), data_centre},
                                                    a.m_Settings.m_LinkMbps * kBytesPerMbit);
     StartPlanConfig plan;
-    plan.m_Deadline = FromMs(a.m_Settings.m_WeightsDeadlineMs);
-    a.m_Keeper      = std::make_unique<WeightKeeper>(daemon, plan, *a.m_Server, *a.m_Transfer, *a.m_Publisher);
-    a.m_Transfer->SetOnHeard([&a](uint64_t version) { OnHeard(a, version); });
-    a.m_Publisher->SetOnNamed([&a](const ModelNaming& named) { OnTold(a, named); });
+    plan.m_WeightsDeadline = FromMs(a.m_Settings.m_WeightsDeadlineMs);
+    a.m_Keeper             = std::make_unique<WeightKeeper>(daemon, plan, *a.m_Server, *a.m_Transfer, *a.m_Publisher);
+    a.m_Transfer->SetOnVersionSeen([&a](uint64_t version) { OnNeighbourVersion(a, version); });
+    a.m_Publisher->SetOnNamed([&a](const ModelNaming& named) { OnRouterUpdate(a, named); });
     DaemonHooks hooks;
     hooks.m_Ready    = [&a] { return a.m_Keeper->Serving(); };
     hooks.m_Describe = [&a] { return a.m_Keeper->Describe(); };
--- a/src/request/direct_place.cpp
+++ b/src/request/direct_place.cpp
@@ -42,7 +42,7 @@
     RequestNeed need;
     need.m_Service          = call.m_Service;
     need.m_Goal             = call.m_Route->m_Goal;
-    need.m_StrictestGoal    = call.m_Routes->StrictestGoal(call.m_Service->m_Name);
+    need.m_StrictestGoal    = call.m_Routes->StrictestObjective(call.m_Service->m_Name);
     need.m_Left             = call.Left(now);
     need.m_Prompt           = call.m_Caller.m_Prompt;
     need.m_Answer           = call.m_Caller.m_Answer;
--- a/src/request/engine_prediction.h
+++ b/src/request/engine_prediction.h
@@ -1,7 +1,7 @@
 // aldervale: how long a model engine takes to a request's first event
 //
-// Pure, from the declared costs of the engine and what is believed to be there. An engine works in passes: it reads up to m_ReadMax prompt
-// tokens, then plays m_StepsPerPass token steps for all requests in the batch. So a request waits for the pass under way, for the prompts
+// Pure, from the declared costs of the engine and what is believed to be there. An engine works in passes: it reads up to m_PromptTokensPerPassMax
+// prompt tokens, then plays m_StepsPerPass token steps for all requests in the batch. So a request waits for the pass under way, for the prompts
 // ahead of its own (each costs its reading and its part of the steps between two reads), and, when all slots are taken, for a slot; both
 // waits pass at the same time. Then its own prompt is read and the steps of its first event are played.
 //
--- a/src/request/server_choice.cpp
+++ b/src/request/server_choice.cpp
@@ -21,7 +21,7 @@
 // What a prompt longer than usual adds to the wait, ms; negative for a shorter one.
 double OwnPart(const RequestNeed& need)
 {
-    return (need.m_Prompt - need.m_Service->m_Engine->m_UsualPrompt) / need.m_Service->m_Engine->m_ReadPerMs;
+    return (need.m_Prompt - need.m_Service->m_Engine->m_MeanPromptTokens) / need.m_Service->m_Engine->m_ReadPerMs;
 }
 
 // How much of a failure an outcome is, 0 to 1.
--- a/src/request/server_prediction.cpp
+++ b/src/request/server_prediction.cpp
@@ -110,7 +110,7 @@
         load.m_InFlight = std::min<double>(load.m_InFlight, std::max(1u, e.m_Slots) - 1);
     load.m_Waiting = fresh ? s.m_Report.m_Waiting : 0;
     load.m_Unread  = s.m_Unread;
-    load.m_Coming  = o.m_Unread * e.m_UsualPrompt;
+    load.m_Coming  = o.m_Unread * e.m_MeanPromptTokens;
     if (Answered(s, now))
         load.m_KnownAheadMs = s.m_Report.m_UnreadMs;
     return FirstEventMs(e, load, need.m_Prompt) * (fresh ? std::max<double>(1, s.m_Report.m_Pace) : 1);
--- a/src/version/model_knowledge.cpp
+++ b/src/version/model_knowledge.cpp
@@ -32,85 +32,86 @@
 
 } // namespace
 
-ModelKnowledge::ModelKnowledge(std::string service, std::string_view own_address, TimePoint now) : m_Service(std::move(service)), m_UntoldSince(now)
+ModelKnowledge::ModelKnowledge(std::string service, std::string_view own_address, TimePoint now)
+    : m_Service(std::move(service)), m_FullReadWaitStart(now)
 {
-    const auto part = static_cast<int>(Hash64(own_address) % kUntoldParts);
-    m_Patience      = kUntoldMax + Duration(kUntoldSpread) * part / static_cast<int>(kUntoldParts);
+    const auto part = static_cast<int>(Hash64(own_address) % kFullReadWaitSteps);
+    m_FullReadWait  = kFullReadWaitMin + Duration(kFullReadWaitSpread) * part / static_cast<int>(kFullReadWaitSteps);
 }
 
-bool ModelKnowledge::Take(uint64_t declared, const std::string& model, const std::optional<WeightOrigin>& origin)
+bool ModelKnowledge::ApplyDeclarations(uint64_t declared, const std::string& model, const std::optional<WeightOrigin>& origin)
 {
     if (declared <= m_Declared)
         return false;
     const auto before = m_Origin;
-    const bool named  = m_Model.empty();
+    const bool first  = m_Model.empty();
     m_Declared        = declared;
-    if (named)
+    if (first)
         m_Model = model;
     if (origin) // one that went away may still answer
         m_Origin = origin;
-    return named || !SameOrigin(before, m_Origin);
+    return first || !SameOrigin(before, m_Origin);
 }
 
-bool ModelKnowledge::OnTold(const ModelNaming& naming, TimePoint now)
+bool ModelKnowledge::OnRouterUpdate(const ModelNaming& naming, TimePoint now)
 {
     if (naming.m_Service != m_Service || naming.m_Model.empty())
         return false;
-    m_ToldAt         = now;
-    const bool news  = Take(naming.m_Declared, naming.m_Model, OriginOf(naming));
-    const bool exact = naming.m_At != TimePoint{};
-    Note(naming.m_Model, {naming.m_Version, exact ? naming.m_At : LearnedAt(now)});
+    m_RouterUpdateAt    = now;
+    const bool changed  = ApplyDeclarations(naming.m_Declared, naming.m_Model, OriginOf(naming));
+    const bool has_time = naming.m_At != TimePoint{};
+    RecordVersion(naming.m_Model, {naming.m_Version, has_time ? naming.m_At : ReceiveTime(now)});
     // The same version may be known from the first read, at an unknown time.
-    VersionNamed& newest = m_Named[naming.m_Model];
-    if (exact && naming.m_Version == newest.m_Version && newest.m_At == TimePoint{})
+    DeclaredVersion& newest = m_NewestByModel[naming.m_Model];
+    if (has_time && naming.m_Version == newest.m_Version && newest.m_At == TimePoint{})
         newest.m_At = naming.m_At;
-    return news;
+    return changed;
 }
 
-bool ModelKnowledge::OnDeclared(const RouteTableSpec& spec)
+bool ModelKnowledge::OnDeclarations(const RouteTableSpec& spec)
 {
     const Service* service = FindModelService(spec, m_Service);
-    return service != nullptr && Take(spec.m_Version, service->m_Engine->m_Model, spec.m_Origin);
+    return service != nullptr && ApplyDeclarations(spec.m_Version, service->m_Engine->m_Model, spec.m_Origin);
 }
 
 // Without the own service it was for nothing. Going on to follow the table would bring the first declarations to all agents at once.
-void ModelKnowledge::OnReadAll(TimePoint now)
+void ModelKnowledge::OnFullRead(TimePoint now)
 {
-    OnRead();
+    OnVersionRowsRead();
     if (!m_Model.empty())
         return;
-    m_UntoldSince = now;
-    m_Patience    = std::min<Duration>(m_Patience * 2, kUntoldLongest);
+    m_FullReadWaitStart = now;
+    m_FullReadWait      = std::min<Duration>(m_FullReadWait * 2, kFullReadWaitMax);
 }
 
 void ModelKnowledge::OnRow(std::string_view model, uint64_t version, TimePoint now)
 {
-    Note(model, {version, LearnedAt(now)});
+    RecordVersion(model, {version, ReceiveTime(now)});
 }
 
-void ModelKnowledge::OnHeard(uint64_t version, TimePoint now)
+void ModelKnowledge::OnNeighbourVersion(uint64_t version, TimePoint now)
 {
     if (!m_Model.empty())
-        Note(m_Model, {version, LearnedAt(now)});
+        RecordVersion(m_Model, {version, ReceiveTime(now)});
 }
 
 // Only a newer version replaces the one known: later reads repeat it, and its time was known best when it came.
-void ModelKnowledge::Note(std::string_view model, const VersionNamed& named)
+void ModelKnowledge::RecordVersion(std::string_view model, const DeclaredVersion& named)
 {
-    VersionNamed& newest = m_Named[std::string(model)];
+    DeclaredVersion& newest = m_NewestByModel[std::string(model)];
     if (named.m_Version > newest.m_Version)
         newest = named;
 }
 
-VersionNamed ModelKnowledge::Newest() const
+DeclaredVersion ModelKnowledge::Newest() const
 {
-    const auto it = m_Named.find(m_Model);
-    return it == m_Named.end() ? VersionNamed{} : it->second;
+    const auto it = m_NewestByModel.find(m_Model);
+    return it == m_NewestByModel.end() ? DeclaredVersion{} : it->second;
 }
 
-bool ModelKnowledge::ReadsAll(TimePoint now) const
+bool ModelKnowledge::NeedsFullRead(TimePoint now) const
 {
-    return m_Model.empty() && now - m_UntoldSince >= m_Patience;
+    return m_Model.empty() && now - m_FullReadWaitStart >= m_FullReadWait;
 }
 
 } // namespace aldervale
--- a/src/version/model_knowledge.h
+++ b/src/version/model_knowledge.h
@@ -16,8 +16,8 @@
 //
 // Usage (src/programs/platform_agent.cpp):
 //   ModelKnowledge k(service, own_address, Now());
-//   k.OnTold(naming, Now()); k.OnRow(model, version, Now()); k.OnRead();
-//   if (k.ReadsAll(Now())) ...                     // read the whole table
+//   k.OnRouterUpdate(naming, Now()); k.OnRow(model, version, Now()); k.OnVersionRowsRead();
+//   if (k.NeedsFullRead(Now())) ...                     // read the whole table
 //   k.Model(); k.Origin(); k.Newest();             // what is known now
 
 #pragma once
@@ -27,13 +27,13 @@
 namespace aldervale
 {
 
-constexpr auto   kUntoldMax     = milliseconds(5000);  // least wait for a router to tell the model before the whole table is read
-constexpr auto   kUntoldSpread  = milliseconds(5000);  // and up to this much more, by hash of the own address: boxes start by the dozen
-constexpr auto   kUntoldLongest = milliseconds(80000); // of that wait, after reads without the own service
-constexpr auto   kToldLately    = milliseconds(3500);  // routers tell every second
-constexpr size_t kUntoldParts   = 64;                  // differing waits
+constexpr auto   kFullReadWaitMin    = milliseconds(5000);  // least wait for a router to tell the model before the whole table is read
+constexpr auto   kFullReadWaitSpread = milliseconds(5000);  // and up to this much more, by hash of the own address: boxes start by the dozen
+constexpr auto   kFullReadWaitMax    = milliseconds(80000); // of that wait, after reads without the own service
+constexpr auto   kRouterUpdateMaxAge = milliseconds(3500);  // routers tell every second
+constexpr size_t kFullReadWaitSteps  = 64;                  // differing waits
 
-struct VersionNamed
+struct DeclaredVersion
 {
     uint64_t  m_Version = 0; // 0: none is known
     TimePoint m_At{};        // when; default: not known
@@ -45,34 +45,34 @@
     ModelKnowledge(std::string service, std::string_view own_address, TimePoint now);
 
     // What was told; true: model or origin changed
-    bool OnTold(const ModelNaming& naming, TimePoint now);           // by a router, perhaps of another service
-    bool OnDeclared(const RouteTableSpec& spec);                     // by the store
+    bool OnRouterUpdate(const ModelNaming& naming, TimePoint now);   // by a router, perhaps of another service
+    bool OnDeclarations(const RouteTableSpec& spec);                 // by the store
     void OnRow(std::string_view model, uint64_t version, TimePoint); // by the store: one row that names weights
-    void OnHeard(uint64_t version, TimePoint now);                   // by a neighbour, of the own model
-    void OnRead() { m_Read = true; }                                 // all rows of one read were handed on
-    void OnReadAll(TimePoint now);                                   // the same, of the whole table
+    void OnNeighbourVersion(uint64_t version, TimePoint now);        // by a neighbour, of the own model
+    void OnVersionRowsRead() { m_RowsRead = true; }                  // all rows of one read were handed on
+    void OnFullRead(TimePoint now);                                  // the same, of the whole table
 
-    bool                               ReadsAll(TimePoint now) const; // the whole table, until a router or the table tells the model
-    bool                               ToldLately(TimePoint now) const { return m_ToldAt != TimePoint{} && now - m_ToldAt < kToldLately; }
+    bool NeedsFullRead(TimePoint now) const; // the whole table, until a router or the table tells the model
+    bool HasRecentRouterUpdate(TimePoint now) const { return m_RouterUpdateAt != TimePoint{} && now - m_RouterUpdateAt < kRouterUpdateMaxAge; }
     const std::string&                 Model() const { return m_Model; }
     const std::optional<WeightOrigin>& Origin() const { return m_Origin; }
-    uint64_t                           Declared() const { return m_Declared; }
-    VersionNamed                       Newest() const; // of the own model
+    uint64_t                           DeclarationsVersion() const { return m_Declared; }
+    DeclaredVersion                    Newest() const; // of the own model
 
 private:
-    bool      Take(uint64_t declared, const std::string& model, const std::optional<WeightOrigin>& origin);
-    void      Note(std::string_view model, const VersionNamed& named);
-    TimePoint LearnedAt(TimePoint now) const { return m_Read ? now : TimePoint{}; }
+    bool      ApplyDeclarations(uint64_t declared, const std::string& model, const std::optional<WeightOrigin>& origin);
+    void      RecordVersion(std::string_view model, const DeclaredVersion& named);
+    TimePoint ReceiveTime(TimePoint now) const { return m_RowsRead ? now : TimePoint{}; }
 
-    std::string                                      m_Service;       //
-    std::string                                      m_Model;         // empty: not known
-    std::optional<WeightOrigin>                      m_Origin;        // none: not known
-    uint64_t                                         m_Declared = 0;  // version of the declarations that told both; never falls
-    std::map<std::string, VersionNamed, std::less<>> m_Named;         // newest one of each model; may come before the own model is known
-    bool                                             m_Read = false;  // the rows that name weights were read once
-    Duration                                         m_Patience{};    // see ReadsAll()
-    TimePoint                                        m_ToldAt{};      // when a router last told anything of the own model
-    TimePoint                                        m_UntoldSince{}; // start, or last own read of the whole table
+    std::string                                         m_Service;             //
+    std::string                                         m_Model;               // empty: not known
+    std::optional<WeightOrigin>                         m_Origin;              // none: not known
+    uint64_t                                            m_Declared = 0;        // version of the declarations that told both; never falls
+    std::map<std::string, DeclaredVersion, std::less<>> m_NewestByModel;       // newest one of each model; may come before the own model is known
+    bool                                                m_RowsRead = false;    // the rows that name weights were read once
+    Duration                                            m_FullReadWait{};      // see NeedsFullRead()
+    TimePoint                                           m_RouterUpdateAt{};    // when a router last told anything of the own model
+    TimePoint                                           m_FullReadWaitStart{}; // start, or last own read of the whole table
 };
 
 } // namespace aldervale
--- a/src/version/piece_links.cpp
+++ b/src/version/piece_links.cpp
@@ -9,11 +9,11 @@
 namespace
 {
 
-constexpr auto   kNoThrow        = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kNeighboursNear = 8;                 // dialled in the own data centre
-constexpr size_t kNeighboursFar  = 4;                 // and elsewhere
-constexpr auto   kDialEvery      = milliseconds(250); //
-constexpr auto   kDialMax        = milliseconds(600); // for a connection
+constexpr auto   kNoThrow                = asio::as_tuple(asio::use_awaitable);
+constexpr size_t kNeighboursSameCentre   = 8;                 // dialled in the own data centre
+constexpr size_t kNeighboursOtherCentres = 4;                 // and elsewhere
+constexpr auto   kDialInterval           = milliseconds(250); //
+constexpr auto   kDialTimeout            = milliseconds(600); // for a connection
 
 } // namespace
 
@@ -78,7 +78,7 @@
     {
         const PeerBox& p    = m_Peers.at(names[i]);
         const bool     same = p.m_DataCentre == m_Self.m_DataCentre;
-        if (same ? near++ < kNeighboursNear : far++ < kNeighboursFar)
+        if (same ? near++ < kNeighboursSameCentre : far++ < kNeighboursOtherCentres)
             out.push_back(p);
     }
     return out;
@@ -101,17 +101,17 @@
     for (;;)
     {
         for (const PeerBox& peer : Neighbours())
-            if (!m_Links.contains(peer.Name()) && m_Dialled.insert(peer.Name()).second)
+            if (!m_Links.contains(peer.Name()) && m_Dialling.insert(peer.Name()).second)
                 asio::co_spawn(
                     m_Ioc, [this, peer] { return Dial(peer); }, asio::detached);
-        co_await SleepFor(kDialEvery);
+        co_await SleepFor(kDialInterval);
     }
 }
 
 awaitable<void> PieceLinks::Dial(PeerBox peer)
 {
-    auto socket = co_await ConnectTcp(peer.m_Address, kDialMax);
-    m_Dialled.erase(peer.Name());
+    auto socket = co_await ConnectTcp(peer.m_Address, kDialTimeout);
+    m_Dialling.erase(peer.Name());
     if (socket)
         Adopt(std::move(socket.value()), LinkSide_Dialled, peer.Name());
 }
@@ -146,9 +146,9 @@
 
 void PieceLinks::Name(const LinkPtr& link, const std::string& peer)
 {
-    LinkPeer who;
-    who.m_Name = peer;
-    link->SetPeer(who);
+    LinkPeer peer_info;
+    peer_info.m_Name = peer;
+    link->SetPeer(peer_info);
     std::vector<LinkPtr>& links = m_Links[peer];
     links.push_back(link);
     if (links.size() > 1)
--- a/src/version/piece_links.h
+++ b/src/version/piece_links.h
@@ -62,7 +62,7 @@
     std::optional<tcp::acceptor>                m_Acceptor; //
     std::map<std::string, PeerBox>              m_Peers;    // by name
     std::map<std::string, std::vector<LinkPtr>> m_Links;    // by peer; no empty lists
-    std::set<std::string>                       m_Dialled;  // peers being dialled
+    std::set<std::string>                       m_Dialling; // peers being dialled
 };
 
 } // namespace aldervale
--- a/src/version/piece_transfer.cpp
+++ b/src/version/piece_transfer.cpp
@@ -9,12 +9,12 @@
       m_Links(ioc, self,
               PieceLinkHandlers{[this](const std::string& p) { OnUp(p); }, [this](const std::string& p) { OnDown(p); },
                                 [this](const std::string& p, const LinkPtr& l, const FrameBuf& f) { OnFrame(p, l, f); }}),
-      m_UploadWake(ioc), m_UploadBucket(link_bytes_s * kUploadShare, 1, Now()), m_LinkBytes(link_bytes_s)
+      m_UploadWake(ioc), m_UploadBucket(link_bytes_s * kUploadShare, 1, Now()), m_LinkBytesPerSecond(link_bytes_s)
 {
     asio::co_spawn(
         m_Ioc, [this] { return UploadLoop(); }, asio::detached);
     asio::co_spawn(
-        m_Ioc, [this] { return TellLoop(); }, asio::detached);
+        m_Ioc, [this] { return AnnounceLoop(); }, asio::detached);
 }
 
 std::string PieceTransfer::NameOf(uint64_t version) const
@@ -28,40 +28,40 @@
     return it == m_Sets.end() ? nullptr : &it->second;
 }
 
-bool PieceTransfer::Whole() const
+bool PieceTransfer::IsComplete() const
 {
     const PieceSet* s = Find(m_Version);
-    return s != nullptr && s->Whole();
+    return s != nullptr && s->IsComplete();
 }
 
-uint64_t PieceTransfer::NewestWhole() const
+uint64_t PieceTransfer::NewestComplete() const
 {
     for (auto it = m_Sets.rbegin(); it != m_Sets.rend(); ++it)
-        if (it->second.Whole())
+        if (it->second.IsComplete())
             return it->first;
     return 0;
 }
 
-size_t PieceTransfer::RankOf(uint64_t version) const
+size_t PieceTransfer::StartRank(uint64_t version) const
 {
-    const std::vector<std::string> members = Members(false);
+    const std::vector<std::string> members = BoxNames(false);
     return RendezvousRank(NameOf(version), members, m_Self.m_Name);
 }
 
-bool PieceTransfer::UnderWay() const
+bool PieceTransfer::IsFetching() const
 {
-    return m_Job && !m_Job->m_Over;
+    return m_Job && !m_Job->m_Finished;
 }
 
-Duration PieceTransfer::QuietFor() const
+Duration PieceTransfer::TimeSinceLastPiece() const
 {
-    return UnderWay() ? Now() - m_Job->m_PieceAt : Duration::zero();
+    return IsFetching() ? Now() - m_Job->m_LastPieceAt : Duration::zero();
 }
 
 uint64_t PieceTransfer::NewestPartial(uint64_t before) const
 {
     for (auto it = m_Sets.rbegin(); it != m_Sets.rend(); ++it)
-        if (it->first < before && it->second.m_Count > 0 && !it->second.Whole())
+        if (it->first < before && it->second.m_Count > 0 && !it->second.IsComplete())
             return it->first;
     return 0;
 }
@@ -71,7 +71,7 @@
     if (m_Model == model)
         return;
     if (m_Job)
-        m_Job->m_Over = true;
+        m_Job->m_Finished = true;
     m_Sets.clear();
     m_Model   = model;
     m_Version = 0;
@@ -81,12 +81,12 @@
 {
     const auto same = [](const PeerBox& a, const PeerBox& b) { return a.m_Address == b.m_Address; };
     if (!std::equal(peers.begin(), peers.end(), m_Peers.begin(), m_Peers.end(), same))
-        m_PeersAt = Now();
+        m_PeersChangedAt = Now();
     m_Peers = peers;
     m_Links.SetPeers(std::move(peers));
 }
 
-std::vector<std::string> PieceTransfer::Members(bool own_data_centre) const
+std::vector<std::string> PieceTransfer::BoxNames(bool own_data_centre) const
 {
     std::vector<std::string> out = {m_Self.m_Name};
     for (const PeerBox& p : m_Peers)
--- a/src/version/piece_transfer.h
+++ b/src/version/piece_transfer.h
@@ -6,8 +6,8 @@
 //
 // Usage:
 //   PieceTransfer t(ioc, origin, server, self, link_bytes_s);
-//   t.SetModel("model"); t.Want(7);  // gives up another version that is under way
-//   if (t.Whole()) ... t.Find(7)->m_Pieces[n]
+//   t.SetModel("model"); t.StartFetch(7);  // gives up another version that is under way
+//   if (t.IsComplete()) ... t.Find(7)->m_Pieces[n]
 
 #pragma once
 #include "external/model_server.h"
@@ -27,7 +27,7 @@
     std::shared_ptr<const PieceList> m_List;   // null until known
     std::vector<PieceBytes>          m_Pieces; // null: not here
     uint32_t                         m_Count = 0;
-    bool                             Whole() const { return m_List && m_Count == m_Pieces.size(); }
+    bool                             IsComplete() const { return m_List && m_Count == m_Pieces.size(); }
 };
 
 constexpr unsigned kPieceSlotsFirst = 3; // pieces asked of neighbours at once when a fetch begins: the link may be narrower than declared
@@ -38,7 +38,7 @@
 unsigned NextPieceSlots(unsigned slots, Duration took);
 
 // How much slower a box's link is than declared, by how long pieces take on it. Live requests wait there, too.
-class LinkPace
+class LinkSlowdown
 {
 public:
     void   OnPiece(Duration took, Duration expected, TimePoint now); // expected: on the declared link, behind the other pieces asked for
@@ -55,28 +55,28 @@
     // `link_bytes_s`: of this box, each way; live answers leave over the same link. 0: no limit.
     PieceTransfer(asio::io_context& ioc, PieceOrigin& origin, ModelServer& server, ProcessName self, double link_bytes_s);
 
-    Status          Listen(const Endpoint& at) { return m_Links.Listen(at); }
-    void            SetModel(const std::string& model); // whose pieces are offered and fetched; empty: not known yet
-    void            SetOrigin(const WeightOrigin& origin) { m_OriginAt = origin; }
-    void            SetPeers(std::vector<PeerBox> peers);
-    void            SetOnHeard(std::function<void(uint64_t version)> fn) { m_OnHeard = std::move(fn); } // a neighbour knows of this version
-    void            Want(uint64_t version);                                                             // gives up another version that is under way
-    void            SetHeld(uint64_t version) { m_Held = version; } // that the own server holds: its staged pieces are offered too
-    uint64_t        Version() const { return m_Version; }           // under way, or fetched last; 0: none
-    bool            Whole() const;
-    Duration        QuietFor() const;                                // since a piece of what is under way came; zero: nothing is
-    uint64_t        NewestPartial(uint64_t before) const;            // newest older one of which some pieces are here, not all; 0: none
-    uint64_t        NewestWhole() const;                             // 0: none
-    bool            UnderWay() const;                                // something is being fetched
-    size_t          Boxes() const { return Members(false).size(); }  // of the service, this one included
-    size_t          RankOf(uint64_t version) const;                  // of this box in an order by hash that all boxes share
-    const PieceSet* Find(uint64_t version) const;                    // null: nothing
-    double          Pace() const { return m_LinkPace.Value(Now()); } // of this box's link: over 1 is slower than declared
+    Status   Listen(const Endpoint& at) { return m_Links.Listen(at); }
+    void     SetModel(const std::string& model); // whose pieces are offered and fetched; empty: not known yet
+    void     SetOrigin(const WeightOrigin& origin) { m_DeclaredOrigin = origin; }
+    void     SetPeers(std::vector<PeerBox> peers);
+    void     SetOnVersionSeen(std::function<void(uint64_t version)> fn) { m_OnVersionSeen = std::move(fn); } // a neighbour knows of this version
+    void     StartFetch(uint64_t version);                                     // gives up another version that is under way
+    void     SetLoadedVersion(uint64_t version) { m_LoadedVersion = version; } // that the own server holds: its staged pieces are offered too
+    uint64_t Version() const { return m_Version; }                             // under way, or fetched last; 0: none
+    bool     IsComplete() const;
+    Duration TimeSinceLastPiece() const;                                     // since a piece of what is under way came; zero: nothing is
+    uint64_t NewestPartial(uint64_t before) const;                           // newest older one of which some pieces are here, not all; 0: none
+    uint64_t NewestComplete() const;                                         // 0: none
+    bool     IsFetching() const;                                             // something is being fetched
+    size_t   Boxes() const { return BoxNames(false).size(); }                // of the service, this one included
+    size_t   StartRank(uint64_t version) const;                              // of this box in an order by hash that all boxes share
+    const PieceSet* Find(uint64_t version) const;                            // null: nothing
+    double          Slowdown() const { return m_LinkSlowdown.Value(Now()); } // of this box's link: over 1 is slower than declared
     uint64_t        BytesFromOrigin() const { return m_BytesOrigin; }
     uint64_t        BytesFromPeers() const { return m_BytesPeers; }
 
 private:
-    struct Job;   // one Want() until it is whole or given up
+    struct Job;   // one StartFetch() until it is whole or given up
     struct Upload // asked for, not sent yet
     {
         LinkPtr   m_Link;         //
@@ -91,7 +91,7 @@
         Duration     m_Waited{};                      // of a piece: in the neighbour's queue of uploads
     };
 
-    std::vector<std::string> Members(bool own_data_centre) const;
+    std::vector<std::string> BoxNames(bool own_data_centre) const;
     std::string              NameOf(uint64_t version) const;
 
     // One job (piece_transfer_job.cpp)
@@ -105,9 +105,9 @@
     awaitable<void>         FetchPiece(std::shared_ptr<Job> job, Fetch f);
     awaitable<PeerAnswer>   FromPeer(std::shared_ptr<Job> job, Fetch f);
     PeerAnswer              TakeAnswer(Job& job, const Fetch& f, const FrameBuf& answer);
-    void                    LearnFromAnswer(Job& job, const std::string& peer, const PeerAnswer& answer, Duration took); // of the peer and the link
+    void                    UpdateFromAnswer(Job& job, const std::string& peer, const PeerAnswer& answer, Duration took); // of the peer and the link
     awaitable<ChunkOutcome> FromOrigin(std::shared_ptr<Job> job, uint32_t n);
-    ChunkOutcome            Keep(Job& job, uint32_t n, std::vector<uint8_t> bytes, std::string_view from);
+    ChunkOutcome            StorePiece(Job& job, uint32_t n, std::vector<uint8_t> bytes, std::string_view from);
     void                    AdaptSlots(Job& job, Duration took);
 
     // The list of digests (piece_transfer_list.cpp)
@@ -118,11 +118,11 @@
     void            OnListGet(const LinkPtr& link, uint64_t exchange, const wire::ManifestGet& get);
 
     // Who has what (piece_transfer_news.cpp)
-    awaitable<void> TellLoop();
-    void            TellNews(Job& job);
-    void            TellAll(const LinkPtr& link);
-    void            TellListed(uint64_t version); // that this box has the list of digests
-    void            AskWhatItHas(uint64_t version, const std::string& peer);
+    awaitable<void> AnnounceLoop();
+    void            AnnouncePieces(Job& job);
+    void            SendInventory(const LinkPtr& link);
+    void            AnnounceList(uint64_t version); // that this box has the list of digests
+    void            RequestInventory(uint64_t version, const std::string& peer);
     void            OnUp(const std::string& peer);
     void            OnDown(const std::string& peer);
     void            OnFrame(const std::string& peer, const LinkPtr& link, const FrameBuf& frame);
@@ -135,27 +135,27 @@
     awaitable<void>       AwaitSent(LinkPtr link);
     void                  OnChunkGet(const LinkPtr& link, uint64_t exchange, const wire::ChunkGet& get);
 
-    asio::io_context&             m_Ioc;       //
-    PieceOrigin&                  m_Origin;    //
-    ModelServer&                  m_Server;    //
-    ProcessName                   m_Self;      // m_Name is the listening address of the links
-    PieceLinks                    m_Links;     //
-    std::vector<PeerBox>          m_Peers;     //
-    TimePoint                     m_PeersAt{}; // when the set of peers changed last
-    std::optional<WeightOrigin>   m_OriginAt;  // as declared
-    std::string                   m_Model;     //
-    uint64_t                      m_Version = 0;
-    uint64_t                      m_Held    = 0;
-    std::map<uint64_t, PieceSet>  m_Sets;            // by version; at most kVersionsKept
-    std::shared_ptr<Job>          m_Job;             // null: nothing under way
-    std::deque<Upload>            m_Uploads;         // at most kUploadsMax
-    unsigned                      m_Sending = 0;     // pieces that their links haven't taken
-    asio::steady_timer            m_UploadWake;      // cancelled when m_Uploads gets an entry
-    TokenBucket                   m_UploadBucket;    // bytes
-    const double                  m_LinkBytes;       // of this box, a second, as declared; 0: not known
-    LinkPace                      m_LinkPace;        //
-    std::function<void(uint64_t)> m_OnHeard;         // may be empty
-    uint64_t                      m_DoubtedList = 0; // version whose list of digests is read from the origin again, not from neighbours
+    asio::io_context&             m_Ioc;              //
+    PieceOrigin&                  m_Origin;           //
+    ModelServer&                  m_Server;           //
+    ProcessName                   m_Self;             // m_Name is the listening address of the links
+    PieceLinks                    m_Links;            //
+    std::vector<PeerBox>          m_Peers;            //
+    TimePoint                     m_PeersChangedAt{}; // when the set of peers changed last
+    std::optional<WeightOrigin>   m_DeclaredOrigin;   // as declared
+    std::string                   m_Model;            //
+    uint64_t                      m_Version       = 0;
+    uint64_t                      m_LoadedVersion = 0;
+    std::map<uint64_t, PieceSet>  m_Sets;               // by version; at most kVersionsKept
+    std::shared_ptr<Job>          m_Job;                // null: nothing under way
+    std::deque<Upload>            m_Uploads;            // at most kUploadsMax
+    unsigned                      m_Sending = 0;        // pieces that their links haven't taken
+    asio::steady_timer            m_UploadWake;         // cancelled when m_Uploads gets an entry
+    TokenBucket                   m_UploadBucket;       // bytes
+    const double                  m_LinkBytesPerSecond; // of this box, a second, as declared; 0: not known
+    LinkSlowdown                  m_LinkSlowdown;       //
+    std::function<void(uint64_t)> m_OnVersionSeen;      // may be empty
+    uint64_t                      m_SuspectList = 0;    // version whose list of digests is read from the origin again, not from neighbours
     uint64_t                      m_BytesOrigin = 0;
     uint64_t                      m_BytesPeers  = 0;
 };
--- a/src/version/piece_transfer_fetch.cpp
+++ b/src/version/piece_transfer_fetch.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr auto     kOriginMax    = milliseconds(2000); // for one piece from the origin
-constexpr auto     kPieceWay     = milliseconds(60);   // of a piece beside its time on the link: the other box's, and both ways
-constexpr unsigned kBadListAfter = 4;                  // spoilt pieces from the origin after which its list of digests is doubted
-constexpr auto     kLinkPaceKeep = seconds(2);         // after the last piece: what queued on the link is gone by then
+constexpr auto     kOriginTimeout    = milliseconds(2000); // for one piece from the origin
+constexpr auto     kPieceOverhead    = milliseconds(60);   // of a piece beside its time on the link: the other box's, and both ways
+constexpr unsigned kCorruptPiecesMax = 4;                  // spoilt pieces from the origin after which its list of digests is doubted
+constexpr auto     kSlowdownMaxAge   = seconds(2);         // after the last piece: what queued on the link is gone by then
 
 } // namespace
 
@@ -23,27 +23,27 @@
         answer.m_Outcome = co_await FromOrigin(job, f.m_Chunk);
     else
         answer = co_await FromPeer(job, f);
-    if (job->m_Over)
+    if (job->m_Finished)
         co_return;
     if (!f.m_Peer.empty())
-        LearnFromAnswer(*job, f.m_Peer, answer, Now() - asked);
+        UpdateFromAnswer(*job, f.m_Peer, answer, Now() - asked);
     job->m_Exchange->OnChunk(f.m_Chunk, f.m_Peer, answer.m_Outcome, Now());
     if (answer.m_Outcome == ChunkOutcome_Good)
-        job->m_News.push_back(f.m_Chunk);
+        job->m_Unannounced.push_back(f.m_Chunk);
     Pump(job);
 }
 
-void PieceTransfer::LearnFromAnswer(Job& job, const std::string& peer, const PeerAnswer& answer, Duration took)
+void PieceTransfer::UpdateFromAnswer(Job& job, const std::string& peer, const PeerAnswer& answer, Duration took)
 {
     const bool good      = answer.m_Outcome == ChunkOutcome_Good;
     const bool failed    = answer.m_Outcome == ChunkOutcome_Failed;
-    const bool timed_out = failed && took >= kPieceMax; // a link that closed at once says nothing of this box's
+    const bool timed_out = failed && took >= kPieceTimeout; // a link that closed at once says nothing of this box's
     if (good || timed_out)
         AdaptSlots(job, took - std::min(took, answer.m_Waited)); // what it waited over there says nothing of the link here
     if (good)
         job.m_Exchange->OnWaited(peer, answer.m_Waited, Now());
     if (failed)
-        AskWhatItHas(job.m_Version, peer);
+        RequestInventory(job.m_Version, peer);
 }
 
 unsigned NextPieceSlots(unsigned slots, Duration took)
@@ -56,31 +56,31 @@
     return took < kQuick + kQuickEach * static_cast<int>(slots) ? std::min(kPieceSlotsMax, slots + 1) : slots;
 }
 
-void LinkPace::OnPiece(Duration took, Duration expected, TimePoint now)
+void LinkSlowdown::OnPiece(Duration took, Duration expected, TimePoint now)
 {
     constexpr double kStep = 0.3; // weight of the newest piece
-    if (now - m_At >= kLinkPaceKeep)
+    if (now - m_At >= kSlowdownMaxAge)
         m_Mean = 1; // another fetch
     m_Mean += kStep * (ToSeconds(took) / ToSeconds(expected) - m_Mean);
     m_At = now;
 }
 
-double LinkPace::Value(TimePoint now) const
+double LinkSlowdown::Value(TimePoint now) const
 {
     constexpr double kClear = 2; // below this it is chance
-    const bool       seen   = m_At != TimePoint{} && now - m_At < kLinkPaceKeep;
+    const bool       seen   = m_At != TimePoint{} && now - m_At < kSlowdownMaxAge;
     return seen && m_Mean > kClear ? m_Mean : 1;
 }
 
 void PieceTransfer::AdaptSlots(Job& job, Duration took)
 {
-    const double piece_s = m_LinkBytes > 0 ? static_cast<double>(job.m_Manifest->m_ChunkSize) / m_LinkBytes : 0;
-    m_LinkPace.OnPiece(took, kPieceWay + FromSeconds(piece_s * job.m_Slots), Now());
+    const double piece_s = m_LinkBytesPerSecond > 0 ? static_cast<double>(job.m_Manifest->m_ChunkSize) / m_LinkBytesPerSecond : 0;
+    m_LinkSlowdown.OnPiece(took, kPieceOverhead + FromSeconds(piece_s * job.m_Slots), Now());
     job.m_Slots = NextPieceSlots(job.m_Slots, took);
     job.m_Exchange->SetDownloadSlots(job.m_Slots);
 }
 
-ChunkOutcome PieceTransfer::Keep(Job& job, uint32_t n, std::vector<uint8_t> bytes, std::string_view from)
+ChunkOutcome PieceTransfer::StorePiece(Job& job, uint32_t n, std::vector<uint8_t> bytes, std::string_view from)
 {
     PieceSet& set = m_Sets[job.m_Version];
     if (Sha256(bytes) != ChunkDigest(*job.m_Manifest, n))
@@ -92,7 +92,7 @@
     {
         set.m_Pieces[n] = std::make_shared<const std::vector<uint8_t>>(std::move(bytes));
         set.m_Count++;
-        job.m_PieceAt = Now();
+        job.m_LastPieceAt = Now();
     }
     return ChunkOutcome_Good;
 }
@@ -110,9 +110,9 @@
     const bool              sent = link->Send(EncodeFrame(box->Id(), get));
     std::optional<FrameBuf> answer;
     if (sent)
-        answer = co_await box->Pop(Now() + kPieceMax);
+        answer = co_await box->Pop(Now() + kPieceTimeout);
     link->CloseExchange(box->Id());
-    if (!answer || job->m_Over)
+    if (!answer || job->m_Finished)
         co_return PeerAnswer{};
     co_return TakeAnswer(*job, f, *answer);
 }
@@ -126,31 +126,32 @@
         return {ChunkOutcome_Corrupt, {}};
     m_BytesPeers += data->bytes()->size();
     std::vector<uint8_t> bytes(data->bytes()->begin(), data->bytes()->end());
-    const ChunkOutcome   outcome = Keep(job, f.m_Chunk, std::move(bytes), f.m_Peer);
+    const ChunkOutcome   outcome = StorePiece(job, f.m_Chunk, std::move(bytes), f.m_Peer);
     return {outcome, milliseconds(data->waited_ms())};
 }
 
 awaitable<ChunkOutcome> PieceTransfer::FromOrigin(std::shared_ptr<Job> job, uint32_t n)
 {
-    auto bytes = co_await m_Origin.ReadPiece(m_OriginAt->m_Address, m_Model, job->m_Version, n, job->m_Exchange->SharesMore(), Now() + kOriginMax);
-    if (!bytes || job->m_Over)
+    auto bytes =
+        co_await m_Origin.ReadPiece(m_DeclaredOrigin->m_Address, m_Model, job->m_Version, n, job->m_Exchange->SharesMore(), Now() + kOriginTimeout);
+    if (!bytes || job->m_Finished)
     {
         if (!bytes)
             LogEvent(Event_OriginUnreachable, {{"version", job->m_Version}, {"piece", n}, {"what", bytes.error().m_Message}});
         co_return ChunkOutcome_Failed;
     }
     m_BytesOrigin += bytes.value().size();
-    const ChunkOutcome outcome = Keep(*job, n, std::move(bytes.value()), "origin");
-    job->m_Spoilt += outcome == ChunkOutcome_Corrupt ? 1 : 0;
-    if (job->m_Spoilt < kBadListAfter)
+    const ChunkOutcome outcome = StorePiece(*job, n, std::move(bytes.value()), "origin");
+    job->m_CorruptPieces += outcome == ChunkOutcome_Corrupt ? 1 : 0;
+    if (job->m_CorruptPieces < kCorruptPiecesMax)
         co_return outcome;
     // Either the origin spoils much, or the list is wrong: a fresh list decides. What is here is checked against it when it is used.
     LogEvent(Event_ManifestRefused, {{"version", job->m_Version}, {"what", "many pieces fail their digests; reading the list again"}});
     const uint64_t version = job->m_Version;
-    job->m_Over            = true;
+    job->m_Finished        = true;
     m_Sets.erase(version);
-    m_DoubtedList = version; // neighbours may have taken the spoilt list from here
-    Want(version);
+    m_SuspectList = version; // neighbours may have taken the spoilt list from here
+    StartFetch(version);
     co_return outcome;
 }
 
--- a/src/version/piece_transfer_list.cpp
+++ b/src/version/piece_transfer_list.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr auto kListPerRank = milliseconds(350);  // how long each box in order waits for a neighbour's list before it asks the origin
-constexpr auto kListMax     = milliseconds(1500); // for one answer with a list
+constexpr auto kListDelayPerRank = milliseconds(350);  // how long each box in order waits for a neighbour's list before it asks the origin
+constexpr auto kListTimeout      = milliseconds(1500); // for one answer with a list
 
 } // namespace
 
@@ -17,16 +17,16 @@
 {
     if (m_Sets[job->m_Version].m_List)
         co_return true;
-    const bool doubted    = m_DoubtedList == job->m_Version;
+    const bool doubted    = m_SuspectList == job->m_Version;
     bool       from_peers = false;
     if (!doubted)
         from_peers = co_await ListFromPeers(job);
     if (from_peers)
         co_return true;
-    const std::vector<std::string> members = Members(true);
+    const std::vector<std::string> members = BoxNames(true);
     const size_t                   rank    = RendezvousRank(NameOf(job->m_Version), members, m_Self.m_Name);
-    const bool                     turn    = doubted || Now() >= job->m_StartedAt + static_cast<int>(rank) * kListPerRank;
-    if (!turn || !m_OriginAt || job->m_Over)
+    const bool                     due     = doubted || Now() >= job->m_StartedAt + static_cast<int>(rank) * kListDelayPerRank;
+    if (!due || !m_DeclaredOrigin || job->m_Finished)
         co_return false;
     const bool read = co_await ListFromOrigin(job);
     co_return read;
@@ -34,11 +34,11 @@
 
 awaitable<bool> PieceTransfer::ListFromPeers(std::shared_ptr<Job> job)
 {
-    const std::set<std::string> listed = job->m_Listed; // more may be heard of meanwhile
+    const std::set<std::string> listed = job->m_ListHolders; // more may be heard of meanwhile
     for (const std::string& peer : listed)
     {
         const LinkPtr link = m_Links.Find(peer);
-        if (!link || job->m_Over)
+        if (!link || job->m_Finished)
             continue;
         wire::ManifestGetT get;
         get.digest                   = NameOf(job->m_Version);
@@ -47,10 +47,10 @@
         const bool              sent = link->Send(EncodeFrame(box->Id(), get));
         std::optional<FrameBuf> answer;
         if (sent)
-            answer = co_await box->Pop(Now() + kOwnMax);
+            answer = co_await box->Pop(Now() + kServerCallTimeout);
         link->CloseExchange(box->Id());
         const wire::ManifestData* data = answer ? answer->Get()->body_as_ManifestData() : nullptr;
-        if (data == nullptr || !data->found() || data->json() == nullptr || job->m_Over)
+        if (data == nullptr || !data->found() || data->json() == nullptr || job->m_Finished)
             continue;
         auto list = ListFromJson(data->json()->string_view());
         if (!list || list->m_Version != job->m_Version || !UsableList(*list))
@@ -63,16 +63,16 @@
 
 awaitable<bool> PieceTransfer::ListFromOrigin(std::shared_ptr<Job> job)
 {
-    auto list = co_await m_Origin.ReadList(m_OriginAt->m_Address, m_Model, job->m_Version, Now() + kListMax);
+    auto list = co_await m_Origin.ReadList(m_DeclaredOrigin->m_Address, m_Model, job->m_Version, Now() + kListTimeout);
     if (!list || !UsableList(list.value()))
     {
         LogEvent(Event_OriginUnreachable, {{"version", job->m_Version}, {"what", list ? "list of digests is spoilt" : list.error().m_Message}});
         co_return false;
     }
-    if (job->m_Over)
+    if (job->m_Finished)
         co_return false;
-    if (m_DoubtedList == job->m_Version)
-        m_DoubtedList = 0;
+    if (m_SuspectList == job->m_Version)
+        m_SuspectList = 0;
     TakeList(job->m_Version, std::move(list.value()));
     co_return true;
 }
@@ -82,7 +82,7 @@
     PieceSet& set = m_Sets[version];
     set.m_List    = std::make_shared<PieceList>(std::move(list));
     set.m_Pieces.resize(set.m_List->m_Digests.size());
-    TellListed(version);
+    AnnounceList(version);
 }
 
 void PieceTransfer::OnListGet(const LinkPtr& link, uint64_t exchange, const wire::ManifestGet& get)
--- a/src/version/piece_transfer_news.cpp
+++ b/src/version/piece_transfer_news.cpp
@@ -7,18 +7,18 @@
 namespace
 {
 
-constexpr auto kTellEvery = milliseconds(40);  // news of pieces to neighbours
-constexpr auto kTellIdle  = milliseconds(250); // looks for such news while nothing is fetched
+constexpr auto kAnnounceInterval     = milliseconds(40);  // news of pieces to neighbours
+constexpr auto kAnnounceIdleInterval = milliseconds(250); // looks for such news while nothing is fetched
 
 } // namespace
 
-void PieceTransfer::TellAll(const LinkPtr& link)
+void PieceTransfer::SendInventory(const LinkPtr& link)
 {
     for (const auto& [version, set] : m_Sets)
     {
         wire::HaveUpdateT have;
         have.digest = NameOf(version);
-        have.whole  = set.Whole();
+        have.whole  = set.IsComplete();
         have.listed = set.m_List != nullptr;
         for (uint32_t n = 0; !have.whole && n < set.m_Pieces.size(); n++)
             if (set.m_Pieces[n])
@@ -26,15 +26,15 @@
         if (have.listed)
             link->Send(EncodeFrame(0, have));
     }
-    if (m_Held == 0 || m_Sets.contains(m_Held) || m_Model.empty())
+    if (m_LoadedVersion == 0 || m_Sets.contains(m_LoadedVersion) || m_Model.empty())
         return;
     wire::HaveUpdateT held; // lies staged at the own server; each piece is checked by whoever takes it
-    held.digest = NameOf(m_Held);
+    held.digest = NameOf(m_LoadedVersion);
     held.whole  = true;
     link->Send(EncodeFrame(0, held));
 }
 
-void PieceTransfer::TellListed(uint64_t version)
+void PieceTransfer::AnnounceList(uint64_t version)
 {
     wire::HaveUpdateT have;
     have.digest = NameOf(version);
@@ -43,35 +43,35 @@
 }
 
 // A neighbour is told only of pieces that it isn't known to have: with all told to all, news took an eighth of a box's link.
-void PieceTransfer::TellNews(Job& job)
+void PieceTransfer::AnnouncePieces(Job& job)
 {
     for (const std::string& peer : m_Links.Up())
     {
         wire::HaveUpdateT have;
         have.digest = NameOf(job.m_Version);
-        for (const uint32_t n : job.m_News)
+        for (const uint32_t n : job.m_Unannounced)
             if (!job.m_Exchange || !job.m_Exchange->PeerHas(peer, n))
                 have.added.push_back(n);
         const LinkPtr link = m_Links.Find(peer);
         if (link && !have.added.empty())
             link->Send(EncodeFrame(0, have));
     }
-    job.m_News.clear();
+    job.m_Unannounced.clear();
 }
 
-awaitable<void> PieceTransfer::TellLoop()
+awaitable<void> PieceTransfer::AnnounceLoop()
 {
     for (;;)
     {
-        const bool idle = !m_Job || (m_Job->m_Over && m_Job->m_News.empty());
-        co_await SleepFor(idle ? kTellIdle : kTellEvery);
-        if (!m_Job || m_Job->m_News.empty())
+        const bool idle = !m_Job || (m_Job->m_Finished && m_Job->m_Unannounced.empty());
+        co_await SleepFor(idle ? kAnnounceIdleInterval : kAnnounceInterval);
+        if (!m_Job || m_Job->m_Unannounced.empty())
             continue;
-        TellNews(*m_Job);
+        AnnouncePieces(*m_Job);
     }
 }
 
-void PieceTransfer::AskWhatItHas(uint64_t version, const std::string& peer)
+void PieceTransfer::RequestInventory(uint64_t version, const std::string& peer)
 {
     const LinkPtr link = m_Links.Find(peer);
     if (!link)
@@ -84,14 +84,14 @@
 
 void PieceTransfer::OnUp(const std::string& peer)
 {
-    if (UnderWay() && m_Job->m_Exchange)
+    if (IsFetching() && m_Job->m_Exchange)
         m_Job->m_Exchange->OnPeerUp(peer, m_Links.SameDataCentre(peer));
-    TellAll(m_Links.Find(peer));
+    SendInventory(m_Links.Find(peer));
 }
 
 void PieceTransfer::OnDown(const std::string& peer)
 {
-    if (UnderWay() && m_Job->m_Exchange)
+    if (IsFetching() && m_Job->m_Exchange)
         m_Job->m_Exchange->OnPeerDown(peer);
 }
 
@@ -102,7 +102,7 @@
     {
     case wire::Body::HaveUpdate:
         if (f.body_as_HaveUpdate()->reply())
-            TellAll(link);
+            SendInventory(link);
         return OnHave(peer, *f.body_as_HaveUpdate());
     case wire::Body::ChunkGet:
         return OnChunkGet(link, f.exchange(), *f.body_as_ChunkGet());
@@ -118,12 +118,12 @@
     const std::optional<uint64_t> version = VersionOf(have.digest(), m_Model);
     if (!version)
         return;
-    if (*version > m_Version && m_OnHeard)
-        m_OnHeard(*version); // before anything else: it may begin a new job
-    if (!UnderWay() || *version != m_Job->m_Version)
+    if (*version > m_Version && m_OnVersionSeen)
+        m_OnVersionSeen(*version); // before anything else: it may begin a new job
+    if (!IsFetching() || *version != m_Job->m_Version)
         return;
     if (have.listed())
-        m_Job->m_Listed.insert(peer);
+        m_Job->m_ListHolders.insert(peer);
     if (!m_Job->m_Exchange)
         return;
     const std::span<const uint32_t> added =
--- a/src/version/piece_transfer_uploads.cpp
+++ b/src/version/piece_transfer_uploads.cpp
@@ -7,11 +7,11 @@
 namespace
 {
 
-constexpr auto     kNoThrow       = asio::as_tuple(asio::use_awaitable);
-constexpr unsigned kUploadsMax    = 6;        // waiting; more are refused as busy
-constexpr unsigned kUploadsAtOnce = 4;        // on links that haven't taken theirs: windows are small, and one neighbour's full link held up all
-constexpr size_t   kUploadQueued  = 4 * 1024; // bytes left to send on a link below which the next piece may follow
-constexpr auto     kUploadPoll    = milliseconds(5); // looks whether a link has taken a piece
+constexpr auto     kNoThrow              = asio::as_tuple(asio::use_awaitable);
+constexpr unsigned kUploadsMax           = 6; // waiting; more are refused as busy
+constexpr unsigned kUploadsAtOnce        = 4; // on links that haven't taken theirs: windows are small, and one neighbour's full link held up all
+constexpr size_t   kUploadQueuedMaxBytes = 4 * 1024;        // bytes left to send on a link below which the next piece may follow
+constexpr auto     kUploadPollInterval   = milliseconds(5); // looks whether a link has taken a piece
 
 } // namespace
 
@@ -55,9 +55,9 @@
     const PieceSet* set = Find(u.m_Version);
     if (set != nullptr && u.m_Piece < set->m_Pieces.size())
         bytes = set->m_Pieces[u.m_Piece];
-    if (!bytes && u.m_Version == m_Held)
+    if (!bytes && u.m_Version == m_LoadedVersion)
     {
-        auto staged = co_await m_Server.GetPiece(m_Model, u.m_Piece, Now() + kOwnMax);
+        auto staged = co_await m_Server.GetPiece(m_Model, u.m_Piece, Now() + kServerCallTimeout);
         if (staged)
             bytes = std::make_shared<const std::vector<uint8_t>>(std::move(staged.value()));
     }
@@ -73,7 +73,7 @@
 awaitable<void> PieceTransfer::SendPiece(const Upload& u, PieceBytes bytes)
 {
     const auto size = static_cast<double>(bytes->size());
-    m_UploadBucket.SetRate(m_LinkBytes * kUploadShare / Pace(), size, Now());
+    m_UploadBucket.SetRate(m_LinkBytesPerSecond * kUploadShare / Slowdown(), size, Now());
     const TimePoint go = m_UploadBucket.Reserve(size, Now());
     co_await SleepFor(go - Now());
     const auto waited = static_cast<uint32_t>(ToMs(Now() - u.m_AskedAt));
@@ -85,9 +85,9 @@
 
 awaitable<void> PieceTransfer::AwaitSent(LinkPtr link)
 {
-    const TimePoint until = Now() + kPieceMax; // a neighbour that reads slowly may not hold up the others for longer
-    while (link->Queued() > kUploadQueued && !link->Closed() && Now() < until)
-        co_await SleepFor(kUploadPoll);
+    const TimePoint until = Now() + kPieceTimeout; // a neighbour that reads slowly may not hold up the others for longer
+    while (link->Queued() > kUploadQueuedMaxBytes && !link->Closed() && Now() < until)
+        co_await SleepFor(kUploadPollInterval);
     m_Sending--;
     m_UploadWake.cancel();
 }
--- a/src/version/place_answers.cpp
+++ b/src/version/place_answers.cpp
@@ -10,7 +10,8 @@
     return q.m_Router.ToString() + "#" + std::to_string(q.m_Number);
 }
 
-PlaceAnswers::PlaceAnswers(LoadPublisher& publisher, std::function<void()> want_report) : m_Publisher(publisher), m_WantReport(std::move(want_report))
+PlaceAnswers::PlaceAnswers(LoadPublisher& publisher, std::function<void()> want_report)
+    : m_Publisher(publisher), m_RequestReport(std::move(want_report))
 {
     m_Publisher.SetOnAsk([this](const PlaceQuestion& question) { OnAsk(question); });
     m_Publisher.SetOnTake([this](double reading_ms) { m_Places.Take(reading_ms, Now()); });
@@ -25,54 +26,54 @@
     const TimePoint now = Now();
     if (Fresh(now))
         return Answer(question, now);
-    m_Waiting.push_back({question, now});
-    m_WantReport();
+    m_PendingQuestions.push_back({question, now});
+    m_RequestReport();
 }
 
 void PlaceAnswers::OnClaim(const ClaimMessage& claim)
 {
     const TimePoint now = Now();
     if (Fresh(now))
-        return TakeClaim({claim, now}, now);
-    m_Claims.push_back({claim, now});
-    m_WantReport();
+        return HandleClaim({claim, now}, now);
+    m_PendingClaims.push_back({claim, now});
+    m_RequestReport();
 }
 
 void PlaceAnswers::OnRelease(const PlaceQuestion& question)
 {
     const std::string key = KeyOf(question);
-    std::erase_if(m_Claims, [&](const HeardClaim& c) { return KeyOf(c.m_Claim.m_Question) == key; });
-    m_InLine.erase(key);
-    m_Line.Release(key, m_Places, Now());
+    std::erase_if(m_PendingClaims, [&](const ReceivedClaim& c) { return KeyOf(c.m_Claim.m_Question) == key; });
+    m_QueuedClaims.erase(key);
+    m_Queue.Release(key, m_Places, Now());
 }
 
-void PlaceAnswers::TakeClaim(const HeardClaim& claim, TimePoint now)
+void PlaceAnswers::HandleClaim(const ReceivedClaim& claim, TimePoint now)
 {
     static Counter& granted = Metrics().GetCounter("aldervale_place_claims_total", "answer=\"granted\"");
     static Counter& denied  = Metrics().GetCounter("aldervale_place_claims_total", "answer=\"denied\"");
     static Counter& waits   = Metrics().GetCounter("aldervale_place_claims_total", "answer=\"waits\"");
-    if (TakesNothing())
+    if (RefusesRequests())
     {
         denied.Add(1);
         return m_Publisher.Grant(claim.m_Claim.m_Question, false);
     }
     const std::string key    = KeyOf(claim.m_Claim.m_Question);
-    const PlaceClaim  wanted = {key, claim.m_Claim.m_Most, claim.m_HeardAt + claim.m_Claim.m_Wait, claim.m_Claim.m_ReadingMs};
-    const ClaimAnswer answer = m_Line.Claim(wanted, m_Places, now);
+    const PlaceClaim  wanted = {key, claim.m_Claim.m_Most, claim.m_ReceivedAt + claim.m_Claim.m_Wait, claim.m_Claim.m_ReadingMs};
+    const ClaimAnswer answer = m_Queue.Claim(wanted, m_Places, now);
     (answer == ClaimAnswer_Granted ? granted : answer == ClaimAnswer_Denied ? denied : waits).Add(1);
     if (answer != ClaimAnswer_Waits)
         return m_Publisher.Grant(claim.m_Claim.m_Question, answer == ClaimAnswer_Granted);
-    m_InLine[key] = claim.m_Claim.m_Question;
-    m_WantReport();
+    m_QueuedClaims[key] = claim.m_Claim.m_Question;
+    m_RequestReport();
 }
 
 void PlaceAnswers::Settle(TimePoint now)
 {
-    const std::vector<SettledClaim> settled = TakesNothing() ? m_Line.DenyAll() : m_Line.Settle(m_Places, now);
+    const std::vector<SettledClaim> settled = RefusesRequests() ? m_Queue.DenyAll() : m_Queue.Settle(m_Places, now);
     for (const SettledClaim& s : settled)
     {
-        m_Publisher.Grant(m_InLine.at(s.m_Claim.m_Key), s.m_Granted);
-        m_InLine.erase(s.m_Claim.m_Key);
+        m_Publisher.Grant(m_QueuedClaims.at(s.m_Claim.m_Key), s.m_Granted);
+        m_QueuedClaims.erase(s.m_Claim.m_Key);
     }
 }
 
@@ -80,18 +81,18 @@
 {
     const TimePoint now = Now();
     m_Load              = load;
-    m_AskedAt           = asked_at;
+    m_ReportAskedAt     = asked_at;
     m_Places.OnReport(load.m_Running, load.m_Waiting, asked_at, now);
     Settle(now);
-    const std::vector<HeardClaim> claims = std::move(m_Claims);
-    m_Claims.clear();
-    for (const HeardClaim& c : claims)
-        if (now - c.m_HeardAt <= kAskKept)
-            TakeClaim(c, now);
-    const std::vector<Waiting> waiting = std::move(m_Waiting);
-    m_Waiting.clear();
-    for (const Waiting& w : waiting)
-        if (now - w.m_HeardAt <= kAskKept)
+    const std::vector<ReceivedClaim> claims = std::move(m_PendingClaims);
+    m_PendingClaims.clear();
+    for (const ReceivedClaim& c : claims)
+        if (now - c.m_ReceivedAt <= kQuestionMaxAge)
+            HandleClaim(c, now);
+    const std::vector<PendingQuestion> waiting = std::move(m_PendingQuestions);
+    m_PendingQuestions.clear();
+    for (const PendingQuestion& w : waiting)
+        if (now - w.m_ReceivedAt <= kQuestionMaxAge)
             Answer(w.m_Question, now);
 }
 
--- a/src/version/route_table.cpp
+++ b/src/version/route_table.cpp
@@ -32,7 +32,7 @@
     for (const Route& r : m_Spec.m_Routes)
         for (const RouteTarget& t : r.m_Targets)
         {
-            const auto [it, first] = m_Goals.emplace(t.m_Service, r.m_Goal);
+            const auto [it, first] = m_StrictestObjectives.emplace(t.m_Service, r.m_Goal);
             if (!first)
                 it->second = std::min(it->second, r.m_Goal);
         }
@@ -61,10 +61,10 @@
     return it == m_ByName.end() ? nullptr : it->second;
 }
 
-Duration RouteTable::StrictestGoal(std::string_view service) const
+Duration RouteTable::StrictestObjective(std::string_view service) const
 {
-    const auto it = m_Goals.find(service);
-    return it == m_Goals.end() ? Duration::zero() : it->second;
+    const auto it = m_StrictestObjectives.find(service);
+    return it == m_StrictestObjectives.end() ? Duration::zero() : it->second;
 }
 
 const RouteTarget& PickTarget(const Route& r, std::string_view request_id)
--- a/src/version/route_table.h
+++ b/src/version/route_table.h
@@ -32,21 +32,21 @@
 
 struct EngineCosts // of a model service; what the declarations say of its engines
 {
-    std::string m_Model;                // name of the model it runs
-    unsigned    m_Slots         = 1;    // requests in one batch
-    uint64_t    m_KvTokens      = 0;    // tokens that its memory holds
-    double      m_StepMs        = 10;   // one token step
-    double      m_PerRequestMs  = 0;    // added to a step by each request that writes
-    double      m_PerKContextMs = 0;    // added to a step by 1,000 tokens of context
-    double      m_ReadPerMs     = 1;    // prompt tokens read in a millisecond
-    double      m_PairsPerMMs   = 0;    // added to reading by a million pairs of a token and one before it
-    unsigned    m_ReadMax       = 2048; // prompt tokens read between two steps
-    unsigned    m_StepsPerPass  = 1;    // token steps between two looks at the queue
-    double      m_UsualPrompt   = 1000; // mean tokens in
-    double      m_UsualAnswer   = 100;  // mean tokens out
-    uint32_t    m_Pieces        = 0;    // pieces that a version's weights are cut into; 0: weights aren't moved
-    uint32_t    m_PieceBytes    = 0;    //
-    double      m_WarmS         = 0;    // from the order to start until it serves, seconds
+    std::string m_Model;                         // name of the model it runs
+    unsigned    m_Slots                  = 1;    // requests in one batch
+    uint64_t    m_KvTokens               = 0;    // tokens that its memory holds
+    double      m_StepMs                 = 10;   // one token step
+    double      m_PerRequestMs           = 0;    // added to a step by each request that writes
+    double      m_PerKContextMs          = 0;    // added to a step by 1,000 tokens of context
+    double      m_ReadPerMs              = 1;    // prompt tokens read in a millisecond
+    double      m_MsPerMillionPairs      = 0;    // added to reading by a million pairs of a token and one before it
+    unsigned    m_PromptTokensPerPassMax = 2048; // prompt tokens read between two steps
+    unsigned    m_StepsPerPass           = 1;    // token steps between two looks at the queue
+    double      m_MeanPromptTokens       = 1000; // mean tokens in
+    double      m_MeanAnswerTokens       = 100;  // mean tokens out
+    uint32_t    m_Pieces                 = 0;    // pieces that a version's weights are cut into; 0: weights aren't moved
+    uint32_t    m_PieceBytes             = 0;    //
+    double      m_WarmS                  = 0;    // from the order to start until it serves, seconds
 };
 
 struct Service
@@ -143,15 +143,15 @@
     const Route*          FindRoute(std::string_view host, std::string_view path) const; // host without port, any case; longest prefix
     const ClientAccount*  FindAccount(std::string_view key) const;
     const Service*        FindService(std::string_view name) const;
-    Duration              StrictestGoal(std::string_view service) const; // of the routes that lead to it; zero: none does
+    Duration              StrictestObjective(std::string_view service) const; // of the routes that lead to it; zero: none does
     bool                  NeedsKey(const Route& r) const { return !r.m_Public && !m_Spec.m_Accounts.empty(); }
 
 private:
-    RouteTableSpec                                             m_Spec;   // not changed after construction: the maps point into it
-    std::unordered_map<std::string, std::vector<const Route*>> m_ByHost; // longest prefix first
-    std::unordered_map<std::string_view, const ClientAccount*> m_ByKey;  //
-    std::unordered_map<std::string_view, const Service*>       m_ByName; // services
-    std::unordered_map<std::string_view, Duration>             m_Goals;  // strictest one of each service's routes
+    RouteTableSpec                                             m_Spec;                // not changed after construction: the maps point into it
+    std::unordered_map<std::string, std::vector<const Route*>> m_ByHost;              // longest prefix first
+    std::unordered_map<std::string_view, const ClientAccount*> m_ByKey;               //
+    std::unordered_map<std::string_view, const Service*>       m_ByName;              // services
+    std::unordered_map<std::string_view, Duration>             m_StrictestObjectives; // strictest one of each service's routes
 };
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
--- a/src/version/weight_keeper.cpp
+++ b/src/version/weight_keeper.cpp
@@ -8,23 +8,23 @@
 namespace
 {
 
-constexpr auto     kReportEvery = milliseconds(75);  // of the own server
-constexpr auto     kReportMax   = milliseconds(400); //
-constexpr unsigned kMissedMax   = 2;                 // reports in a row without an answer after which the server counts as lost
-constexpr auto     kPlanEvery   = milliseconds(100); //
-constexpr auto     kPieceMax    = milliseconds(800); // for putting or reading one piece
-constexpr auto     kOrderMax    = milliseconds(800); // for the answer to an order
-constexpr auto     kOrderDone   = seconds(6);        // an order that shows no effect for this long is given again
-constexpr auto     kDrainMax =
+constexpr auto     kReportInterval     = milliseconds(75);  // of the own server
+constexpr auto     kReportTimeout      = milliseconds(400); //
+constexpr unsigned kMissedReportsMax   = 2;                 // reports in a row without an answer after which the server counts as lost
+constexpr auto     kPlanInterval       = milliseconds(100); //
+constexpr auto     kPieceTimeout       = milliseconds(800); // for putting or reading one piece
+constexpr auto     kOrderTimeout       = milliseconds(800); // for the answer to an order
+constexpr auto     kOrderEffectTimeout = seconds(6);        // an order that shows no effect for this long is given again
+constexpr auto     kDrainTimeout =
     milliseconds(1400); // from telling routers that nothing new is taken to the order, which cuts what still runs: a usual stream takes some 1.2 s
-constexpr auto kTellRouters = milliseconds(25); // least of it: a datagram's way
-constexpr auto kDrainPoll   = milliseconds(25); //
+constexpr auto kRouterNotifyDelay = milliseconds(25); // least of it: a datagram's way
+constexpr auto kDrainPollInterval = milliseconds(25); //
 
 } // namespace
 
 WeightKeeper::WeightKeeper(Daemon& daemon, const StartPlanConfig& plan, ModelServer& server, PieceTransfer& transfer, LoadPublisher& publisher)
-    : m_Daemon(daemon), m_Server(server), m_Transfer(transfer), m_Publisher(publisher), m_Wake(daemon.Ioc()),
-      m_Places(publisher, [this] { m_Wake.cancel(); }), m_Plan(plan)
+    : m_Daemon(daemon), m_Server(server), m_Transfer(transfer), m_Publisher(publisher), m_ReportTimer(daemon.Ioc()),
+      m_Places(publisher, [this] { m_ReportTimer.cancel(); }), m_Plan(plan)
 {
 }
 
@@ -42,18 +42,18 @@
         m_Daemon.Ioc(), [this] { return PlanLoop(); }, asio::detached);
 }
 
-void WeightKeeper::OnNamed(uint64_t version, TimePoint named_at)
+void WeightKeeper::OnTargetVersion(uint64_t version, TimePoint named_at)
 {
     if (version <= m_Plan.Target())
         return;
-    m_Plan.OnNamed(version, named_at);
+    m_Plan.OnTargetVersion(version, named_at);
     LogEvent(Event_WeightsNamed, {{"model", m_Model}, {"version", version}, {"held", m_Report.m_Weights}});
 }
 
 json::object WeightKeeper::Describe() const
 {
     return {{"model", m_Model},         {"held", m_Report.m_Weights},       {"target", m_Plan.Target()},
-            {"reachable", m_Reachable}, {"fetching", m_Transfer.Version()}, {"whole", m_Transfer.Whole()}};
+            {"reachable", m_Reachable}, {"fetching", m_Transfer.Version()}, {"whole", m_Transfer.IsComplete()}};
 }
 
 LoadReport WeightKeeper::Load() const
@@ -61,11 +61,11 @@
     LoadReport r;
     r.m_Running  = m_Report.m_Running;
     r.m_Waiting  = m_Report.m_Waiting;
-    r.m_Pace     = static_cast<float>(std::max(m_Report.m_Pace, m_Transfer.Pace())); // a request waits on the link as well
+    r.m_Pace     = static_cast<float>(std::max(m_Report.m_Pace, m_Transfer.Slowdown())); // a request waits on the link as well
     r.m_Weights  = m_Reachable ? m_Report.m_Weights : 0;
     r.m_BornMs   = m_Report.m_BornMs;
-    r.m_Starting = m_Ordering && m_Draining;
-    r.m_Named    = m_Plan.NamedAfter(r.m_Weights, Now());
+    r.m_Starting = m_StartInProgress && m_Draining;
+    r.m_Named    = m_Plan.DeclaredAges(r.m_Weights, Now());
     return r;
 }
 
@@ -76,7 +76,7 @@
 
 // A server that started again holds nothing of before: an order that it was given then is neither under way nor carried out, and what was put
 // beside it has to be looked at again.
-bool WeightKeeper::TakeReport(const ServerReport& report)
+bool WeightKeeper::AcceptReport(const ServerReport& report)
 {
     if (ServerLife::Earlier(report.m_BornMs, m_Report.m_BornMs))
         return false;
@@ -85,7 +85,7 @@
         LogEvent(Event_OwnServerStarted, {{"born_ms", report.m_BornMs}, {"before_ms", m_Report.m_BornMs}, {"held_before", m_Report.m_Weights}});
         m_Places.OnServerStarted();
         if (m_OrderedAt != TimePoint{})
-            m_Ordering = false;
+            m_StartInProgress = false;
     }
     m_Report = report;
     return true;
@@ -96,29 +96,29 @@
     for (;;)
     {
         const TimePoint asked  = Now();
-        const auto      report = co_await m_Server.Report(asked + kReportMax);
+        const auto      report = co_await m_Server.Report(asked + kReportTimeout);
         const bool      was    = m_Reachable;
         const uint64_t  held   = m_Report.m_Weights;
-        const bool      taken  = report && TakeReport(report.value());
-        m_ReportAsked          = taken ? asked : m_ReportAsked;
-        m_Missed               = taken ? 0 : m_Missed + 1;
-        m_Reachable            = taken || (m_Reachable && m_Missed < kMissedMax);
+        const bool      taken  = report && AcceptReport(report.value());
+        m_ReportAskedAt        = taken ? asked : m_ReportAskedAt;
+        m_MissedReports        = taken ? 0 : m_MissedReports + 1;
+        m_Reachable            = taken || (m_Reachable && m_MissedReports < kMissedReportsMax);
         if (was && !m_Reachable)
             LogEvent(Event_OwnServerLost, {{"why", report ? std::string("only reports of an earlier lifetime") : report.error().m_Message}});
         if (!was && m_Reachable)
             LogEvent(Event_OwnServerBack, {{"held", m_Report.m_Weights}, {"orders", m_Report.m_Orders}});
         if (held != m_Report.m_Weights)
             LogEvent(Event_WeightsServing, {{"version", m_Report.m_Weights}, {"before", held}});
-        const bool done = m_Ordering && m_OrderedAt != TimePoint{} && !m_Report.m_Busy &&
-                          (m_Report.m_Weights >= m_Ordered || !m_Reachable || Now() - m_OrderedAt > kOrderDone);
+        const bool done = m_StartInProgress && m_OrderedAt != TimePoint{} && !m_Report.m_Busy &&
+                          (m_Report.m_Weights >= m_OrderedVersion || !m_Reachable || Now() - m_OrderedAt > kOrderEffectTimeout);
         if (done)
-            m_Ordering = false;
-        m_Transfer.SetHeld(m_Reachable ? m_Report.m_Weights : 0);
+            m_StartInProgress = false;
+        m_Transfer.SetLoadedVersion(m_Reachable ? m_Report.m_Weights : 0);
         Publish();
         if (taken || !m_Reachable)
             m_Places.OnReport(Load(), asked);
-        m_Wake.expires_after(m_Places.HasLine() ? kLinePoll : kReportEvery);
-        co_await m_Wake.async_wait(asio::as_tuple(asio::use_awaitable));
+        m_ReportTimer.expires_after(m_Places.HasQueue() ? kQueuePollInterval : kReportInterval);
+        co_await m_ReportTimer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
 }
 
@@ -126,24 +126,24 @@
 {
     for (;;)
     {
-        co_await SleepFor(kPlanEvery);
+        co_await SleepFor(kPlanInterval);
         if (m_Model.empty())
             continue;
         PlanInput in;
         in.m_Reachable       = m_Reachable;
         in.m_Busy            = m_Report.m_Busy;
-        in.m_Held            = m_Report.m_Weights;
-        in.m_Fetching        = m_Transfer.Version();
-        in.m_FetchWhole      = m_Transfer.Whole();
-        in.m_FetchQuiet      = m_Transfer.QuietFor();
-        in.m_Partial         = m_Transfer.NewestPartial(m_Plan.Target());
-        in.m_Whole           = m_Transfer.NewestWhole();
-        in.m_Rank            = m_Transfer.RankOf(in.m_Whole);
-        in.m_Boxes           = m_Transfer.Boxes();
+        in.m_LoadedVersion   = m_Report.m_Weights;
+        in.m_FetchVersion    = m_Transfer.Version();
+        in.m_FetchComplete   = m_Transfer.IsComplete();
+        in.m_SinceLastPiece  = m_Transfer.TimeSinceLastPiece();
+        in.m_NewestPartial   = m_Transfer.NewestPartial(m_Plan.Target());
+        in.m_NewestComplete  = m_Transfer.NewestComplete();
+        in.m_StartRank       = m_Transfer.StartRank(in.m_NewestComplete);
+        in.m_BoxCount        = m_Transfer.Boxes();
         const uint64_t fetch = m_Plan.NextFetch(in, Now());
         if (fetch > 0)
-            m_Transfer.Want(fetch);
-        const uint64_t start = m_Ordering ? 0 : m_Plan.NextStart(in, Now());
+            m_Transfer.StartFetch(fetch);
+        const uint64_t start = m_StartInProgress ? 0 : m_Plan.NextStart(in, Now());
         if (start > 0)
             asio::co_spawn(
                 m_Daemon.Ioc(), [this, start] { return StageAndStart(start); }, asio::detached);
@@ -154,56 +154,56 @@
 {
     for (uint32_t n = 0; n < set.m_Pieces.size(); n++)
     {
-        const PieceBytes want = set.m_Pieces[n];
-        const auto       lies = co_await m_Server.GetPiece(m_Model, n, Now() + kPieceMax);
-        if (!lies && lies.error().m_Code != ErrorCode_NotFound)
+        const PieceBytes want   = set.m_Pieces[n];
+        const auto       staged = co_await m_Server.GetPiece(m_Model, n, Now() + kPieceTimeout);
+        if (!staged && staged.error().m_Code != ErrorCode_NotFound)
             co_return false;
-        if (lies && lies.value() == *want)
+        if (staged && staged.value() == *want)
             continue;
-        const Status put = co_await m_Server.PutPiece(m_Model, n, *want, Now() + kPieceMax);
+        const Status put = co_await m_Server.PutPiece(m_Model, n, *want, Now() + kPieceTimeout);
         if (!put)
             co_return false;
     }
     co_return true;
 }
 
-awaitable<void> WeightKeeper::DrainBriefly()
+awaitable<void> WeightKeeper::DrainServer()
 {
     m_Draining = true;
     Publish();
-    co_await SleepFor(kTellRouters);
+    co_await SleepFor(kRouterNotifyDelay);
     // A report that was asked for earlier may be older than the last request that came.
-    const TimePoint told = Now();
-    const TimePoint end  = told + kDrainMax;
-    const auto      idle = [&] { return m_ReportAsked >= told && m_Report.m_Running + m_Report.m_Waiting == 0; };
+    const TimePoint notified = Now();
+    const TimePoint end      = notified + kDrainTimeout;
+    const auto      idle     = [&] { return m_ReportAskedAt >= notified && m_Report.m_Running + m_Report.m_Waiting == 0; };
     while (m_Reachable && m_Report.m_Weights > 0 && !idle() && Now() < end)
-        co_await SleepFor(kDrainPoll);
+        co_await SleepFor(kDrainPollInterval);
 }
 
 awaitable<void> WeightKeeper::StageAndStart(uint64_t version)
 {
     const PieceSet* found = m_Transfer.Find(version);
-    if (found == nullptr || !found->Whole())
+    if (found == nullptr || !found->IsComplete())
         co_return;
-    const PieceSet set = *found; // shares the bytes; the transfer may drop its own
-    m_Ordering         = true;
-    m_Ordered          = version;
-    m_OrderedAt        = {};
-    m_Draining         = false;
-    const int64_t born = m_Report.m_BornMs;
-    bool          lies = co_await CheckStaged(set); // while the server still serves: what turns bad after it has no time to matter
-    if (lies)
-        co_await DrainBriefly();
-    lies = lies && !ServerLife::Earlier(born, m_Report.m_BornMs); // a new lifetime holds nothing of it
-    if (!lies)
+    const PieceSet set   = *found; // shares the bytes; the transfer may drop its own
+    m_StartInProgress    = true;
+    m_OrderedVersion     = version;
+    m_OrderedAt          = {};
+    m_Draining           = false;
+    const int64_t born   = m_Report.m_BornMs;
+    bool          staged = co_await CheckStaged(set); // while the server still serves: what turns bad after it has no time to matter
+    if (staged)
+        co_await DrainServer();
+    staged = staged && !ServerLife::Earlier(born, m_Report.m_BornMs); // a new lifetime holds nothing of it
+    if (!staged)
     {
         m_Plan.OnOrderFailed(Now());
-        m_Ordering = false;
+        m_StartInProgress = false;
         co_return;
     }
     LogEvent(Event_WeightsStaged, {{"model", m_Model}, {"version", version}});
     const StartOrder   order{m_Model, version, true, m_Report.m_Orders};
-    const StartOutcome outcome = co_await m_Server.Start(order, Now() + kOrderMax);
+    const StartOutcome outcome = co_await m_Server.Start(order, Now() + kOrderTimeout);
     if (outcome == StartOutcome_Begun || outcome == StartOutcome_Unknown)
     {
         LogEvent(Event_StartOrdered, {{"model", m_Model}, {"version", version}, {"answered", outcome == StartOutcome_Begun}});
@@ -214,7 +214,7 @@
     if (outcome == StartOutcome_Refused)
         LogEvent(Event_StartRefused, {{"model", m_Model}, {"version", version}, {"orders", order.m_Orders}});
     m_Plan.OnOrderFailed(Now());
-    m_Ordering = false;
+    m_StartInProgress = false;
 }
 
 } // namespace aldervale
--- a/tests/test_engine_prediction.cpp
+++ b/tests/test_engine_prediction.cpp
@@ -11,15 +11,15 @@
 EngineCosts Costs()
 {
     EngineCosts e;
-    e.m_Slots         = 16;
-    e.m_StepMs        = 6.73;
-    e.m_PerRequestMs  = 0.0219;
-    e.m_PerKContextMs = 0.0068;
-    e.m_ReadPerMs     = 30.6;
-    e.m_PairsPerMMs   = 0.647;
-    e.m_StepsPerPass  = 6;
-    e.m_UsualPrompt   = 960;
-    e.m_UsualAnswer   = 120;
+    e.m_Slots             = 16;
+    e.m_StepMs            = 6.73;
+    e.m_PerRequestMs      = 0.0219;
+    e.m_PerKContextMs     = 0.0068;
+    e.m_ReadPerMs         = 30.6;
+    e.m_MsPerMillionPairs = 0.647;
+    e.m_StepsPerPass      = 6;
+    e.m_MeanPromptTokens  = 960;
+    e.m_MeanAnswerTokens  = 120;
     return e;
 }
 
--- a/tests/test_load_patterns.cpp
+++ b/tests/test_load_patterns.cpp
@@ -35,11 +35,11 @@
 BOOST_AUTO_TEST_CASE(an_engine_reads_prompts_between_steps_and_makes_each_first_event_once)
 {
     EngineCosts costs;
-    costs.m_Slots        = 2;
-    costs.m_StepMs       = 10;
-    costs.m_ReadPerMs    = 20;
-    costs.m_ReadMax      = 1000;
-    costs.m_StepsPerPass = 5;
+    costs.m_Slots                  = 2;
+    costs.m_StepMs                 = 10;
+    costs.m_ReadPerMs              = 20;
+    costs.m_PromptTokensPerPassMax = 1000;
+    costs.m_StepsPerPass           = 5;
     EngineModel engine(costs);
     engine.Submit({1, 1000, 10});
     engine.Submit({2, 500, 5});
--- a/tests/test_model_knowledge.cpp
+++ b/tests/test_model_knowledge.cpp
@@ -15,7 +15,7 @@
 }
 
 // What a router with declarations of that version tells; the origin is At(declared).
-ModelNaming Told(uint64_t declared, uint64_t version, TimePoint named_at = {})
+ModelNaming RouterUpdate(uint64_t declared, uint64_t version, TimePoint named_at = {})
 {
     ModelNaming n;
     n.m_Service           = "books";
@@ -43,7 +43,7 @@
     return spec;
 }
 
-ModelKnowledge Fresh()
+ModelKnowledge NewKnowledge()
 {
     return ModelKnowledge("books", "10.0.9.1:7000", kStart);
 }
@@ -53,87 +53,87 @@
 // Agents read the operators' table whole at their start, and again when a fetch took over 8 s and there were newer declarations. After a loss of
 // all power, or with the origin away, all 15 to 30 agents of a region did so at once: 1.1 MB each over a link of 3 MB/s, 5 to 11 s in which routers'
 // own reads of new declarations waited behind them. What an agent needs of it is some 60 bytes, and every router tells them each second.
-BOOST_AUTO_TEST_CASE(agents_that_routers_tell_never_read_the_whole_table)
+BOOST_AUTO_TEST_CASE(agents_that_get_router_updates_never_read_the_whole_table)
 {
     for (int box = 1; box <= 30; box++)
     {
         ModelKnowledge k("books", "10.0.9." + std::to_string(box) + ":7000", kStart);
-        BOOST_TEST(!k.ReadsAll(kStart));
-        BOOST_TEST(!k.ReadsAll(kStart + seconds(4))); // routers start, too, and have to learn it themselves
-        k.OnTold(Told(7, 1), kStart + seconds(4));
+        BOOST_TEST(!k.NeedsFullRead(kStart));
+        BOOST_TEST(!k.NeedsFullRead(kStart + seconds(4))); // routers start, too, and have to learn it themselves
+        k.OnRouterUpdate(RouterUpdate(7, 1), kStart + seconds(4));
         for (int s = 4; s < 600; s++) // nobody tells any more, or a fetch gets nothing from an origin that is away
-            BOOST_TEST(!k.ReadsAll(kStart + seconds(s)));
+            BOOST_TEST(!k.NeedsFullRead(kStart + seconds(s)));
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_origin_that_moves_is_known_from_the_next_word_of_a_router)
+BOOST_AUTO_TEST_CASE(a_new_origin_address_is_taken_from_the_next_router_update)
 {
-    ModelKnowledge k = Fresh();
-    BOOST_TEST(k.OnTold(Told(7, 1), kStart));
+    ModelKnowledge k = NewKnowledge();
+    BOOST_TEST(k.OnRouterUpdate(RouterUpdate(7, 1), kStart));
     BOOST_TEST((k.Origin()->m_Address == At(7)));
-    BOOST_TEST(k.OnTold(Told(8, 1), kStart + seconds(1)));
+    BOOST_TEST(k.OnRouterUpdate(RouterUpdate(8, 1), kStart + seconds(1)));
     BOOST_TEST((k.Origin()->m_Address == At(8)));
     BOOST_TEST(k.Origin()->m_Mbps == 9.5);
     BOOST_TEST(k.Origin()->m_MaxConnections == 48u);
-    BOOST_TEST(k.Declared() == 8u);
+    BOOST_TEST(k.DeclarationsVersion() == 8u);
 }
 
-BOOST_AUTO_TEST_CASE(who_has_older_or_the_same_declarations_changes_nothing)
+BOOST_AUTO_TEST_CASE(updates_with_older_or_the_same_declarations_change_nothing)
 {
-    ModelKnowledge k = Fresh();
-    k.OnTold(Told(8, 1), kStart);
-    BOOST_TEST(!k.OnTold(Told(7, 1), kStart)); // a router that is late
+    ModelKnowledge k = NewKnowledge();
+    k.OnRouterUpdate(RouterUpdate(8, 1), kStart);
+    BOOST_TEST(!k.OnRouterUpdate(RouterUpdate(7, 1), kStart)); // a router that is late
     BOOST_TEST((k.Origin()->m_Address == At(8)));
-    ModelNaming same = Told(8, 1);
+    ModelNaming same = RouterUpdate(8, 1);
     same.m_Origin    = At(99);
-    BOOST_TEST(!k.OnTold(same, kStart));
+    BOOST_TEST(!k.OnRouterUpdate(same, kStart));
     BOOST_TEST((k.Origin()->m_Address == At(8)));
-    BOOST_TEST(!k.OnDeclared(Declarations(7, "books"))); // a read of the store that lags
+    BOOST_TEST(!k.OnDeclarations(Declarations(7, "books"))); // a read of the store that lags
     BOOST_TEST((k.Origin()->m_Address == At(8)));
-    BOOST_TEST(k.Declared() == 8u);
+    BOOST_TEST(k.DeclarationsVersion() == 8u);
 }
 
-BOOST_AUTO_TEST_CASE(newer_declarations_that_say_the_same_are_no_news)
+BOOST_AUTO_TEST_CASE(newer_declarations_with_the_same_content_are_no_change)
 {
-    ModelKnowledge k     = Fresh();
-    ModelNaming    first = Told(7, 1);
-    k.OnTold(first, kStart);
+    ModelKnowledge k     = NewKnowledge();
+    ModelNaming    first = RouterUpdate(7, 1);
+    k.OnRouterUpdate(first, kStart);
     first.m_Declared = 9;
-    BOOST_TEST(!k.OnTold(first, kStart));
-    BOOST_TEST(k.Declared() == 9u); // but who has 8 is older now
-    BOOST_TEST(!k.OnTold(Told(8, 1), kStart));
+    BOOST_TEST(!k.OnRouterUpdate(first, kStart));
+    BOOST_TEST(k.DeclarationsVersion() == 9u); // but who has 8 is older now
+    BOOST_TEST(!k.OnRouterUpdate(RouterUpdate(8, 1), kStart));
     BOOST_TEST((k.Origin()->m_Address == At(7)));
     first.m_Declared = 10;
     first.m_Origin.reset();
-    BOOST_TEST(!k.OnTold(first, kStart));
+    BOOST_TEST(!k.OnRouterUpdate(first, kStart));
     BOOST_TEST((k.Origin()->m_Address == At(7))); // one that went away may still answer
 }
 
-BOOST_AUTO_TEST_CASE(words_of_other_services_count_for_nothing)
+BOOST_AUTO_TEST_CASE(updates_for_other_services_are_ignored)
 {
-    ModelKnowledge k     = Fresh();
-    ModelNaming    other = Told(9, 5, kStart);
+    ModelKnowledge k     = NewKnowledge();
+    ModelNaming    other = RouterUpdate(9, 5, kStart);
     other.m_Service      = "loans";
-    BOOST_TEST(!k.OnTold(other, kStart));
+    BOOST_TEST(!k.OnRouterUpdate(other, kStart));
     BOOST_TEST(k.Model().empty());
     BOOST_TEST(k.Newest().m_Version == 0u);
-    BOOST_TEST(k.OnTold(Told(7, 1), kStart)); // of the own service, with lower declarations than that one
+    BOOST_TEST(k.OnRouterUpdate(RouterUpdate(7, 1), kStart)); // of the own service, with lower declarations than that one
     BOOST_TEST(k.Model() == "m");
 }
 
 // Whatever routers with any declarations say in any order: the one with the newest is believed, and knowledge never goes back.
-BOOST_AUTO_TEST_CASE(the_origin_is_always_that_of_the_newest_declarations_told)
+BOOST_AUTO_TEST_CASE(the_origin_is_always_that_of_the_newest_declarations_received)
 {
     ALDERVALE_PROPERTY("newest teller wins",
-                       [](const std::vector<uint8_t>& tellers)
+                       [](const std::vector<uint8_t>& senders)
                        {
-                           ModelKnowledge k      = Fresh();
+                           ModelKnowledge k      = NewKnowledge();
                            unsigned       newest = 0;
-                           for (const uint8_t declared : tellers)
+                           for (const uint8_t declared : senders)
                            {
                                newest = std::max<unsigned>(newest, declared);
-                               k.OnTold(Told(declared, 1), kStart);
-                               RC_ASSERT(k.Declared() == newest);
+                               k.OnRouterUpdate(RouterUpdate(declared, 1), kStart);
+                               RC_ASSERT(k.DeclarationsVersion() == newest);
                                RC_ASSERT(k.Origin().has_value() == (newest > 0));
                                if (newest > 0)
                                    RC_ASSERT(k.Origin()->m_Address == At(newest));
@@ -141,72 +141,72 @@
                        });
 }
 
-BOOST_AUTO_TEST_CASE(without_any_word_agents_read_the_whole_table_one_after_the_other)
+BOOST_AUTO_TEST_CASE(without_router_updates_agents_read_the_whole_table_at_different_times)
 {
     std::vector<Duration> waits;
     for (int box = 1; box <= 30; box++)
     {
         ModelKnowledge k("books", "10.0.9." + std::to_string(box) + ":7000", kStart);
         Duration       wait{};
-        while (!k.ReadsAll(kStart + wait))
+        while (!k.NeedsFullRead(kStart + wait))
             wait += milliseconds(1);
         waits.push_back(wait);
     }
     std::sort(waits.begin(), waits.end());
-    BOOST_TEST((waits.front() >= kUntoldMax));
-    BOOST_TEST((waits.back() <= kUntoldMax + kUntoldSpread));
+    BOOST_TEST((waits.front() >= kFullReadWaitMin));
+    BOOST_TEST((waits.back() <= kFullReadWaitMin + kFullReadWaitSpread));
     BOOST_TEST((waits.back() - waits.front() >= seconds(3)));
     BOOST_TEST((waits[15] > waits[0] + seconds(1)));
     BOOST_TEST((waits[15] < waits[29] - seconds(1)));
 }
 
-BOOST_AUTO_TEST_CASE(a_read_of_the_whole_table_ends_when_it_or_a_router_tells_the_model)
+BOOST_AUTO_TEST_CASE(the_whole_table_is_not_read_once_the_model_is_known)
 {
-    const TimePoint late = kStart + kUntoldMax + kUntoldSpread;
-    ModelKnowledge  read = Fresh();
-    BOOST_TEST(read.ReadsAll(late));
-    BOOST_TEST(read.OnDeclared(Declarations(7, "books")));
+    const TimePoint late = kStart + kFullReadWaitMin + kFullReadWaitSpread;
+    ModelKnowledge  read = NewKnowledge();
+    BOOST_TEST(read.NeedsFullRead(late));
+    BOOST_TEST(read.OnDeclarations(Declarations(7, "books")));
     BOOST_TEST(read.Model() == "m");
     BOOST_TEST((read.Origin()->m_Address == At(7)));
-    read.OnReadAll(late);
-    BOOST_TEST(!read.ReadsAll(late + seconds(600)));
-    ModelKnowledge told = Fresh();
-    BOOST_TEST(told.ReadsAll(late));
-    told.OnTold(Told(7, 1), late);
-    BOOST_TEST(!told.ReadsAll(late));
+    read.OnFullRead(late);
+    BOOST_TEST(!read.NeedsFullRead(late + seconds(600)));
+    ModelKnowledge from_router = NewKnowledge();
+    BOOST_TEST(from_router.NeedsFullRead(late));
+    from_router.OnRouterUpdate(RouterUpdate(7, 1), late);
+    BOOST_TEST(!from_router.NeedsFullRead(late));
 }
 
-BOOST_AUTO_TEST_CASE(a_service_that_is_not_declared_is_looked_for_ever_less_often)
+BOOST_AUTO_TEST_CASE(an_undeclared_service_is_looked_up_at_growing_intervals)
 {
-    ModelKnowledge k    = Fresh();
+    ModelKnowledge k    = NewKnowledge();
     TimePoint      now  = kStart;
     Duration       last = Duration::zero();
     for (int i = 0; i < 8; i++)
     {
         const TimePoint since = now;
-        while (!k.ReadsAll(now))
+        while (!k.NeedsFullRead(now))
             now += milliseconds(10);
         BOOST_TEST((now - since >= last));
-        BOOST_TEST((now - since <= kUntoldLongest + milliseconds(10)));
+        BOOST_TEST((now - since <= kFullReadWaitMax + milliseconds(10)));
         last = now - since;
         if (i > 0) // none at all at first: boxes start before anything is declared
-            k.OnDeclared(Declarations(7, "loans"));
-        k.OnReadAll(now);
-        BOOST_TEST(!k.ReadsAll(now));
+            k.OnDeclarations(Declarations(7, "loans"));
+        k.OnFullRead(now);
+        BOOST_TEST(!k.NeedsFullRead(now));
     }
-    BOOST_TEST((last >= kUntoldLongest));
-    BOOST_TEST(k.OnDeclared(Declarations(8, "books")));
+    BOOST_TEST((last >= kFullReadWaitMax));
+    BOOST_TEST(k.OnDeclarations(Declarations(8, "books")));
     BOOST_TEST(k.Model() == "m");
 }
 
-BOOST_AUTO_TEST_CASE(what_the_first_read_tells_was_named_at_an_unknown_time)
+BOOST_AUTO_TEST_CASE(versions_of_the_first_read_have_an_unknown_time_of_declaration)
 {
-    ModelKnowledge k = Fresh();
-    k.OnTold(Told(7, 0), kStart);
+    ModelKnowledge k = NewKnowledge();
+    k.OnRouterUpdate(RouterUpdate(7, 0), kStart);
     k.OnRow("m", 3, kStart);
     BOOST_TEST(k.Newest().m_Version == 3u);
     BOOST_TEST((k.Newest().m_At == TimePoint{}));
-    k.OnRead();
+    k.OnVersionRowsRead();
     k.OnRow("m", 3, kStart + seconds(6)); // again, in the next read: it is no news
     BOOST_TEST((k.Newest().m_At == TimePoint{}));
     k.OnRow("m", 4, kStart + seconds(12));
@@ -215,62 +215,62 @@
 }
 
 // The few rows are read while no router has told the model yet: which of them tell of the own model comes out only later.
-BOOST_AUTO_TEST_CASE(times_of_naming_stay_right_when_the_model_is_learned_after_the_first_read)
+BOOST_AUTO_TEST_CASE(times_of_declaration_are_right_when_the_model_becomes_known_after_the_first_read)
 {
-    ModelKnowledge k = Fresh();
+    ModelKnowledge k = NewKnowledge();
     k.OnRow("m", 3, kStart);
     k.OnRow("n", 8, kStart);
-    k.OnRead();
-    BOOST_TEST(k.Newest().m_Version == 0u);    // of no model yet
-    k.OnTold(Told(7, 3), kStart + seconds(1)); // by a router that doesn't know the time
+    k.OnVersionRowsRead();
+    BOOST_TEST(k.Newest().m_Version == 0u);                    // of no model yet
+    k.OnRouterUpdate(RouterUpdate(7, 3), kStart + seconds(1)); // by a router that doesn't know the time
     BOOST_TEST(k.Newest().m_Version == 3u);
-    BOOST_TEST((k.Newest().m_At == TimePoint{})); // the first read told it
-    k.OnTold(Told(7, 4), kStart + seconds(2));    // not in the first read: named after it
+    BOOST_TEST((k.Newest().m_At == TimePoint{}));              // the first read told it
+    k.OnRouterUpdate(RouterUpdate(7, 4), kStart + seconds(2)); // not in the first read: named after it
     BOOST_TEST((k.Newest().m_At == kStart + seconds(2)));
 
-    ModelKnowledge between = Fresh(); // version 4 is named between two reads, and only then the model is known
+    ModelKnowledge between = NewKnowledge(); // version 4 is named between two reads, and only then the model is known
     between.OnRow("m", 3, kStart);
-    between.OnRead();
+    between.OnVersionRowsRead();
     between.OnRow("m", 4, kStart + seconds(6));
-    between.OnRead();
-    between.OnTold(Told(7, 4), kStart + seconds(7));
+    between.OnVersionRowsRead();
+    between.OnRouterUpdate(RouterUpdate(7, 4), kStart + seconds(7));
     BOOST_TEST(between.Newest().m_Version == 4u);
     BOOST_TEST((between.Newest().m_At == kStart + seconds(6)));
 }
 
-BOOST_AUTO_TEST_CASE(before_the_first_read_only_a_router_that_knows_the_time_makes_it_known)
+BOOST_AUTO_TEST_CASE(before_the_first_read_only_a_router_can_give_the_time_of_declaration)
 {
-    ModelKnowledge unsure = Fresh();
-    unsure.OnTold(Told(7, 3), kStart);
-    BOOST_TEST((unsure.Newest().m_At == TimePoint{}));
-    unsure.OnHeard(4, kStart);
-    BOOST_TEST(unsure.Newest().m_Version == 4u);
-    BOOST_TEST((unsure.Newest().m_At == TimePoint{}));
-    unsure.OnTold(Told(7, 4, kStart - seconds(2)), kStart + seconds(1));
-    BOOST_TEST((unsure.Newest().m_At == kStart - seconds(2)));
-    ModelKnowledge sure = Fresh(); // the own read was first and didn't say when
-    sure.OnRow("m", 3, kStart);
-    sure.OnRead();
-    sure.OnTold(Told(7, 3, kStart - seconds(2)), kStart + seconds(1));
-    BOOST_TEST((sure.Newest().m_At == kStart - seconds(2)));
-    sure.OnTold(Told(7, 3, kStart - seconds(1)), kStart + seconds(1)); // others reckon a little differently
-    BOOST_TEST((sure.Newest().m_At == kStart - seconds(2)));
+    ModelKnowledge untimed = NewKnowledge();
+    untimed.OnRouterUpdate(RouterUpdate(7, 3), kStart);
+    BOOST_TEST((untimed.Newest().m_At == TimePoint{}));
+    untimed.OnNeighbourVersion(4, kStart);
+    BOOST_TEST(untimed.Newest().m_Version == 4u);
+    BOOST_TEST((untimed.Newest().m_At == TimePoint{}));
+    untimed.OnRouterUpdate(RouterUpdate(7, 4, kStart - seconds(2)), kStart + seconds(1));
+    BOOST_TEST((untimed.Newest().m_At == kStart - seconds(2)));
+    ModelKnowledge timed = NewKnowledge(); // the own read was first and didn't say when
+    timed.OnRow("m", 3, kStart);
+    timed.OnVersionRowsRead();
+    timed.OnRouterUpdate(RouterUpdate(7, 3, kStart - seconds(2)), kStart + seconds(1));
+    BOOST_TEST((timed.Newest().m_At == kStart - seconds(2)));
+    timed.OnRouterUpdate(RouterUpdate(7, 3, kStart - seconds(1)), kStart + seconds(1)); // others reckon a little differently
+    BOOST_TEST((timed.Newest().m_At == kStart - seconds(2)));
 }
 
-BOOST_AUTO_TEST_CASE(versions_only_rise_whoever_tells_them)
+BOOST_AUTO_TEST_CASE(versions_only_rise_whichever_sender_reports_them)
 {
-    ModelKnowledge k = Fresh();
-    k.OnTold(Told(8, 5, kStart), kStart);
-    k.OnTold(Told(7, 6, kStart), kStart); // older declarations, but the newest version of weights
+    ModelKnowledge k = NewKnowledge();
+    k.OnRouterUpdate(RouterUpdate(8, 5, kStart), kStart);
+    k.OnRouterUpdate(RouterUpdate(7, 6, kStart), kStart); // older declarations, but the newest version of weights
     BOOST_TEST(k.Newest().m_Version == 6u);
-    k.OnRead();
+    k.OnVersionRowsRead();
     k.OnRow("m", 4, kStart);
-    k.OnHeard(5, kStart);
-    k.OnTold(Told(9, 5, kStart), kStart);
+    k.OnNeighbourVersion(5, kStart);
+    k.OnRouterUpdate(RouterUpdate(9, 5, kStart), kStart);
     BOOST_TEST(k.Newest().m_Version == 6u);
-    ModelNaming other = Told(10, 9, kStart);
+    ModelNaming other = RouterUpdate(10, 9, kStart);
     other.m_Model     = "n"; // a model once known stays
-    k.OnTold(other, kStart);
+    k.OnRouterUpdate(other, kStart);
     BOOST_TEST(k.Model() == "m");
     BOOST_TEST(k.Newest().m_Version == 6u);
 }
--- a/tests/test_pieces.cpp
+++ b/tests/test_pieces.cpp
@@ -49,28 +49,28 @@
         if (m_Down)
             co_return MakeError(ErrorCode_Unavailable, "down");
         std::vector<uint8_t> bytes = PieceOf(version, n);
-        if (m_Spoil-- > 0)
+        if (m_CorruptReads-- > 0)
             bytes[5] ^= 1;
         co_return bytes;
     }
 
     std::atomic<bool> m_Down{false};
-    std::atomic<int>  m_Spoil{0};    // pieces still to spoil
-    std::atomic<int>  m_BadLists{0}; // lists still to spoil
+    std::atomic<int>  m_CorruptReads{0}; // pieces still to spoil
+    std::atomic<int>  m_BadLists{0};     // lists still to spoil
     std::atomic<int>  m_Reads{0};
     std::atomic<int>  m_Lists{0};
 };
 
 // Spoils every other of the first pieces that it is asked for, the very first one included. Answers at once, as its base does.
-class SpoilingOrigin : public FakeOrigin
+class CorruptingOrigin : public FakeOrigin
 {
 public:
     awaitable<Result<std::vector<uint8_t>>> ReadPiece(Endpoint, std::string, uint64_t version, uint32_t n, bool, TimePoint) override
     {
-        constexpr int        kSpoiltUntil = 10; // reads: more spoilt pieces than make a list doubted, too few for the next list
-        const int            read         = m_Reads++;
-        std::vector<uint8_t> bytes        = PieceOf(version, n);
-        if (read % 2 == 0 && read < kSpoiltUntil)
+        constexpr int        kCorruptUntil = 10; // reads: more spoilt pieces than make a list doubted, too few for the next list
+        const int            read          = m_Reads++;
+        std::vector<uint8_t> bytes         = PieceOf(version, n);
+        if (read % 2 == 0 && read < kCorruptUntil)
             bytes[5] ^= 1;
         co_return bytes;
     }
@@ -93,7 +93,7 @@
             co_return StartOutcome_Refused;
         for (uint32_t n = 0; n < kPieces; n++)
             m_StartedWhole = m_StartedWhole && m_Staged.contains(n) && m_Staged[n] == PieceOf(order.m_Version, n);
-        m_CutOff += order.m_Cut && Now() < m_RunsUntil ? 1 : 0;
+        m_CancelledRequests += order.m_Cut && Now() < m_RunsUntil ? 1 : 0;
         m_Held = order.m_Version;
         m_Orders++;
         co_return StartOutcome_Begun;
@@ -104,7 +104,7 @@
         std::lock_guard lock(m_Mutex);
         m_Staged[n] = {bytes.begin(), bytes.end()};
         if (n + 1 == kPieces)
-            m_RunsUntil = Now() + m_LastCaller;
+            m_RunsUntil = Now() + m_LastRequestTakes;
         co_return Ok();
     }
 
@@ -145,7 +145,7 @@
         m_Orders = 0;
     }
 
-    void Rot(uint32_t n)
+    void CorruptStaged(uint32_t n)
     {
         std::lock_guard lock(m_Mutex);
         m_Staged[n][0] ^= 1;
@@ -163,11 +163,11 @@
         return r;
     }
 
-    Duration                                 m_ReportTakes{}; // from its state to the report's arrival; set before the start
-    Duration                                 m_LastCaller{};  // of a request that comes with the last piece that is put; set before the start
-    std::mutex                               m_Mutex;         // guards the members below
-    TimePoint                                m_RunsUntil{};   // the end of that request
-    int                                      m_CutOff = 0;    // requests that an order cut
+    Duration                                 m_ReportTakes{};         // from its state to the report's arrival; set before the start
+    Duration                                 m_LastRequestTakes{};    // of a request that comes with the last piece that is put; set before the start
+    std::mutex                               m_Mutex;                 // guards the members below
+    TimePoint                                m_RunsUntil{};           // the end of that request
+    int                                      m_CancelledRequests = 0; // requests that an order cut
     std::map<uint32_t, std::vector<uint8_t>> m_Staged;
     uint64_t                                 m_Held         = 0;
     uint64_t                                 m_Orders       = 0;
@@ -185,9 +185,9 @@
         m_Transfer  = std::make_unique<PieceTransfer>(m_Daemon.Ioc(), origin, m_Server, ProcessName{m_At.ToString(), data_centre}, 0);
         m_Publisher = std::make_unique<LoadPublisher>(m_Daemon.Ioc(), data_centre);
         StartPlanConfig plan;
-        plan.m_Deadline   = milliseconds(100);
-        plan.m_OrderPause = milliseconds(20);
-        m_Keeper          = std::make_unique<WeightKeeper>(m_Daemon, plan, m_Server, *m_Transfer, *m_Publisher);
+        plan.m_WeightsDeadline = milliseconds(100);
+        plan.m_OrderRetryDelay = milliseconds(20);
+        m_Keeper               = std::make_unique<WeightKeeper>(m_Daemon, plan, m_Server, *m_Transfer, *m_Publisher);
         BOOST_REQUIRE(m_Transfer->Listen(m_At).has_value());
         BOOST_REQUIRE(m_Publisher->Listen(m_At).has_value());
     }
@@ -208,9 +208,9 @@
         m_Thread = std::thread([this] { m_Daemon.Ioc().run(); });
     }
 
-    void Named(uint64_t version)
+    void Declare(uint64_t version)
     {
-        asio::post(m_Daemon.Ioc(), [this, version] { m_Keeper->OnNamed(version, Now()); });
+        asio::post(m_Daemon.Ioc(), [this, version] { m_Keeper->OnTargetVersion(version, Now()); });
     }
 
     Endpoint                       m_At = FreeEndpoint();
@@ -261,19 +261,19 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(empty_boxes_get_version_one_and_then_the_named_one_whole)
+BOOST_AUTO_TEST_CASE(empty_boxes_get_version_one_and_then_the_declared_one)
 {
     Boxes boxes(4);
     boxes.Start();
     BOOST_TEST(boxes.AllHold(1));
     for (const auto& b : boxes.m_Boxes)
-        b->Named(2);
+        b->Declare(2);
     BOOST_TEST(boxes.AllHold(2));
     BOOST_TEST(boxes.StartedWhole());
     BOOST_TEST(boxes.m_Origin.m_Reads.load() <= static_cast<int>(2 * 2 * kPieces)); // far from one copy a box and version
 }
 
-BOOST_AUTO_TEST_CASE(a_new_box_gets_its_pieces_from_boxes_that_only_have_them_staged)
+BOOST_AUTO_TEST_CASE(a_new_box_gets_its_pieces_from_the_staging_of_other_boxes)
 {
     Boxes boxes(3);
     for (size_t i = 0; i < 2; i++)
@@ -286,11 +286,11 @@
     BOOST_TEST(boxes.StartedWhole());
 }
 
-BOOST_AUTO_TEST_CASE(spoilt_pieces_and_lists_of_the_origin_are_never_started)
+BOOST_AUTO_TEST_CASE(corrupt_pieces_and_lists_of_the_origin_are_never_started)
 {
     Boxes boxes(2);
-    boxes.m_Origin.m_Spoil    = 5;
-    boxes.m_Origin.m_BadLists = 1;
+    boxes.m_Origin.m_CorruptReads = 5;
+    boxes.m_Origin.m_BadLists     = 1;
     boxes.Start();
     BOOST_TEST(boxes.AllHold(1));
     BOOST_TEST(boxes.StartedWhole());
@@ -300,10 +300,10 @@
 // of digests was read again and the fetch began anew. The second one, which the fetch that was given up had asked for, was then read and
 // booked by the new fetch, as the loop went on with whatever fetch was under way: the new exchange was told of a chunk that it had never asked
 // for. Its counts went below zero, after which it takes every slot for full and asks the origin for nothing more.
-BOOST_AUTO_TEST_CASE(a_fetch_that_begins_anew_is_told_nothing_of_pieces_asked_for_before)
+BOOST_AUTO_TEST_CASE(a_restarted_fetch_ignores_pieces_requested_before)
 {
     asio::io_context ioc;
-    SpoilingOrigin   origin;
+    CorruptingOrigin origin;
     FakeServer       server;
     const Endpoint   at = FreeEndpoint();
     const Endpoint   by = FreeEndpoint();
@@ -315,23 +315,23 @@
     neighbour.SetPeers({{at, "dc-1"}});
     box.SetOrigin({at, 0, 0}); // the fake doesn't look at it
     box.SetModel("m");
-    box.Want(1);
+    box.StartFetch(1);
     wire::HaveUpdateT news; // of nothing new: it only makes the box look at what to fetch next
     news.digest         = VersionName("m", 1);
     const TimePoint end = Now() + seconds(30); // only a hang reaches it
-    while (!box.Whole() && Now() < end)
+    while (!box.IsComplete() && Now() < end)
     {
         neighbour.Broadcast(news);
         ioc.run_for(milliseconds(1));
     }
-    BOOST_REQUIRE(box.Whole());
+    BOOST_REQUIRE(box.IsComplete());
     BOOST_TEST(origin.m_Lists.load() == 2);
     BOOST_TEST(origin.m_Reads.load() == 7 + 1 + static_cast<int>(kPieces)); // until the list was doubted; one more spoilt; each once
     for (uint32_t n = 0; n < kPieces; n++)
         BOOST_TEST((*box.Find(1)->m_Pieces[n] == PieceOf(1, n)));
 }
 
-BOOST_AUTO_TEST_CASE(a_dark_origin_is_waited_for)
+BOOST_AUTO_TEST_CASE(an_unreachable_origin_is_retried)
 {
     Boxes boxes(2);
     boxes.m_Origin.m_Down = true;
@@ -341,20 +341,20 @@
     BOOST_TEST(boxes.AllHold(1));
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_server_starts_again_from_what_lies_there_and_bad_pieces_are_replaced)
+BOOST_AUTO_TEST_CASE(a_restarted_server_starts_from_its_staged_pieces_and_corrupt_ones_are_replaced)
 {
     Boxes boxes(1);
     boxes.Start();
     BOOST_TEST(boxes.AllHold(1));
     const int reads = boxes.m_Origin.m_Reads.load();
-    boxes.m_Boxes[0]->m_Server.Rot(4);
+    boxes.m_Boxes[0]->m_Server.CorruptStaged(4);
     boxes.m_Boxes[0]->m_Server.Restart();
     BOOST_TEST(boxes.AllHold(1));
     BOOST_TEST(boxes.StartedWhole());
     BOOST_TEST(boxes.m_Origin.m_Reads.load() == reads);
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_agent_takes_what_lies_at_its_server)
+BOOST_AUTO_TEST_CASE(a_restarted_agent_uses_the_pieces_staged_at_its_server)
 {
     Boxes boxes(1);
     boxes.m_Boxes[0]->m_Server.Stage(1);
@@ -379,14 +379,14 @@
     Boxes       boxes(1);
     FakeServer& server = boxes.m_Boxes[0]->m_Server;
     server.Stage(1);
-    server.m_Held        = 1;
-    server.m_ReportTakes = milliseconds(100);
-    server.m_LastCaller  = milliseconds(200);
+    server.m_Held             = 1;
+    server.m_ReportTakes      = milliseconds(100);
+    server.m_LastRequestTakes = milliseconds(200);
     boxes.Start();
-    boxes.m_Boxes[0]->Named(2);
+    boxes.m_Boxes[0]->Declare(2);
     BOOST_TEST(boxes.AllHold(2));
     std::lock_guard lock(server.m_Mutex);
-    BOOST_TEST(server.m_CutOff == 0);
+    BOOST_TEST(server.m_CancelledRequests == 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_box_with_a_dead_server_orders_nothing_and_starts_when_it_is_back)
@@ -403,7 +403,7 @@
     BOOST_TEST(boxes.AllHold(1));
 }
 
-BOOST_AUTO_TEST_CASE(routers_hear_load_reports_of_the_boxes_they_ask)
+BOOST_AUTO_TEST_CASE(routers_receive_load_reports_of_the_boxes_they_ask)
 {
     Boxes boxes(1);
     boxes.m_Boxes[0]->m_Server.Stage(1);
@@ -430,36 +430,36 @@
     router.Stop();
 }
 
-BOOST_AUTO_TEST_CASE(a_report_tells_what_was_named_and_how_long_ago)
+BOOST_AUTO_TEST_CASE(a_report_contains_declared_versions_and_their_ages)
 {
     asio::io_context ioc;
     const Endpoint   box = FreeEndpoint();
     LoadPublisher    publisher(ioc, "dc-1");
-    LoadReport       heard;
-    LoadListener     listener(ioc, {"router", "dc-1"}, [&](const asio::ip::address&, const LoadReport& r) { heard = r; });
-    LoadReport       told;
-    told.m_Weights = 1;
-    told.m_Named   = {{2, -1}, {3, 1234}};
+    LoadReport       received;
+    LoadListener     listener(ioc, {"router", "dc-1"}, [&](const asio::ip::address&, const LoadReport& r) { received = r; });
+    LoadReport       sent;
+    sent.m_Weights = 1;
+    sent.m_Named   = {{2, -1}, {3, 1234}};
     BOOST_REQUIRE(publisher.Listen(box).has_value());
     BOOST_REQUIRE(listener.Listen(FreeEndpoint()).has_value());
     listener.SetBoxes({{box, true, 1}});
-    for (int i = 0; i < 2000 && heard.m_Weights == 0; i++)
+    for (int i = 0; i < 2000 && received.m_Weights == 0; i++)
     {
         ioc.run_for(milliseconds(10));
-        publisher.Publish(told);
+        publisher.Publish(sent);
     }
-    BOOST_TEST(heard.m_Weights == 1u);
-    BOOST_TEST((heard.m_Named == told.m_Named));
+    BOOST_TEST(received.m_Weights == 1u);
+    BOOST_TEST((received.m_Named == sent.m_Named));
 }
 
-BOOST_AUTO_TEST_CASE(a_router_tells_the_boxes_at_once_what_was_named_and_how_long_ago)
+BOOST_AUTO_TEST_CASE(a_router_sends_declared_versions_and_their_ages_to_boxes_at_once)
 {
     asio::io_context         ioc;
     const Endpoint           box = FreeEndpoint();
     LoadPublisher            publisher(ioc, "dc-1");
     LoadListener             listener(ioc, {"router", "dc-1"}, [](const asio::ip::address&, const LoadReport&) {});
-    std::vector<ModelNaming> heard;
-    publisher.SetOnNamed([&](const ModelNaming& n) { heard.push_back(n); });
+    std::vector<ModelNaming> received;
+    publisher.SetOnNamed([&](const ModelNaming& n) { received.push_back(n); });
     BOOST_REQUIRE(publisher.Listen(box).has_value());
     BOOST_REQUIRE(listener.Listen(FreeEndpoint()).has_value());
     listener.SetBoxes({{box, true, 1}});
@@ -471,26 +471,26 @@
     first.m_Version = 2;
     ModelNaming second{"loans", "n", 5, named_at, Endpoint{asio::ip::make_address("10.1.2.3"), 8000}, 9.5, 48};
     listener.SetNamed({first, second});
-    for (int i = 0; i < 2000 && heard.size() < 2; i++)
+    for (int i = 0; i < 2000 && received.size() < 2; i++)
         ioc.run_for(milliseconds(10));
-    BOOST_REQUIRE(heard.size() >= 2u);
-    BOOST_TEST(heard[0].m_Model == "m");
-    BOOST_TEST(heard[0].m_Version == 2u);
-    BOOST_TEST((heard[0].m_At == TimePoint{})); // at an unknown time
-    BOOST_TEST(heard[1].m_Model == "n");
-    BOOST_TEST((heard[1].m_At > named_at - milliseconds(2)));
-    BOOST_TEST((heard[1].m_At < named_at + seconds(2)));
-    BOOST_TEST(!heard[0].m_Origin.has_value());
-    BOOST_REQUIRE(heard[1].m_Origin.has_value());
-    BOOST_TEST(heard[1].m_Origin->ToString() == "10.1.2.3:8000");
-    BOOST_TEST(heard[1].m_OriginMbps == 9.5);
-    BOOST_TEST(heard[1].m_OriginConnections == 48u);
-    BOOST_TEST(heard[1].m_Service == "loans");
-    BOOST_TEST(heard[0].m_Declared == 41u);
-    BOOST_TEST(heard[1].m_Declared == 41u);
+    BOOST_REQUIRE(received.size() >= 2u);
+    BOOST_TEST(received[0].m_Model == "m");
+    BOOST_TEST(received[0].m_Version == 2u);
+    BOOST_TEST((received[0].m_At == TimePoint{})); // at an unknown time
+    BOOST_TEST(received[1].m_Model == "n");
+    BOOST_TEST((received[1].m_At > named_at - milliseconds(2)));
+    BOOST_TEST((received[1].m_At < named_at + seconds(2)));
+    BOOST_TEST(!received[0].m_Origin.has_value());
+    BOOST_REQUIRE(received[1].m_Origin.has_value());
+    BOOST_TEST(received[1].m_Origin->ToString() == "10.1.2.3:8000");
+    BOOST_TEST(received[1].m_OriginMbps == 9.5);
+    BOOST_TEST(received[1].m_OriginConnections == 48u);
+    BOOST_TEST(received[1].m_Service == "loans");
+    BOOST_TEST(received[0].m_Declared == 41u);
+    BOOST_TEST(received[1].m_Declared == 41u);
 }
 
-BOOST_AUTO_TEST_CASE(a_link_that_turns_out_to_be_narrow_soon_has_few_pieces_on_the_way)
+BOOST_AUTO_TEST_CASE(a_link_that_proves_narrow_soon_carries_few_pieces_at_once)
 {
     constexpr int kPieceMs = 216; // of 24 KiB at an eighth of the declared link
     unsigned      slots    = kPieceSlotsFirst;
@@ -507,7 +507,7 @@
     BOOST_TEST(slots == kPieceSlotsMax);
 }
 
-BOOST_AUTO_TEST_CASE(a_narrow_link_holds_one_piece_at_a_time)
+BOOST_AUTO_TEST_CASE(a_narrow_link_carries_one_piece_at_a_time)
 {
     constexpr int kPieceMs = 216; // of 24 KiB at an eighth of the declared link
     unsigned      slots    = kPieceSlotsMax;
@@ -520,23 +520,23 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_link_is_told_as_slow_while_pieces_take_long_on_it)
+BOOST_AUTO_TEST_CASE(a_link_counts_as_slow_while_pieces_take_long_on_it)
 {
     const TimePoint start = TimePoint{} + seconds(100);
-    LinkPace        pace;
-    BOOST_TEST(pace.Value(start) == 1.0);
+    LinkSlowdown    slowdown;
+    BOOST_TEST(slowdown.Value(start) == 1.0);
     for (int i = 0; i < 6; i++)
-        pace.OnPiece(milliseconds(120), milliseconds(276), start); // eight at once on a link as declared
-    BOOST_TEST(pace.Value(start) == 1.0);
+        slowdown.OnPiece(milliseconds(120), milliseconds(276), start); // eight at once on a link as declared
+    BOOST_TEST(slowdown.Value(start) == 1.0);
     for (int i = 0; i < 6; i++)
-        pace.OnPiece(milliseconds(800), milliseconds(110), start);
-    BOOST_TEST(pace.Value(start) > 4.0);
-    BOOST_TEST(pace.Value(start + seconds(5)) == 1.0); // nothing is fetched any more
-    pace.OnPiece(milliseconds(120), milliseconds(276), start + seconds(9));
-    BOOST_TEST(pace.Value(start + seconds(9)) == 1.0); // the next fetch starts afresh
+        slowdown.OnPiece(milliseconds(800), milliseconds(110), start);
+    BOOST_TEST(slowdown.Value(start) > 4.0);
+    BOOST_TEST(slowdown.Value(start + seconds(5)) == 1.0); // nothing is fetched any more
+    slowdown.OnPiece(milliseconds(120), milliseconds(276), start + seconds(9));
+    BOOST_TEST(slowdown.Value(start + seconds(9)) == 1.0); // the next fetch starts afresh
 }
 
-BOOST_AUTO_TEST_CASE(a_list_of_digests_from_a_neighbour_with_false_numbers_is_refused)
+BOOST_AUTO_TEST_CASE(a_list_of_digests_with_invalid_numbers_is_refused)
 {
     BOOST_TEST(ListFromJson(R"({"version":2,"piece_bytes":24576,"digests":["aa"]})").has_value());
     for (const std::string text :
--- a/tests/test_place_channel.cpp
+++ b/tests/test_place_channel.cpp
@@ -19,7 +19,7 @@
         : m_Publisher(ioc, "dc"), m_Answers(m_Publisher,
                                             [this]
                                             {
-                                                m_Wanted++;
+                                                m_ReportRequests++;
                                                 if (m_Reports)
                                                     m_Answers.OnReport(m_Load, Now());
                                             }),
@@ -32,7 +32,7 @@
 
     LoadPublisher m_Publisher; //
     LoadReport    m_Load;      // that the own server's report says
-    int           m_Wanted = 0;
+    int           m_ReportRequests = 0;
     PlaceAnswers  m_Answers; //
     bool          m_Reports; // false: its server doesn't answer
 };
@@ -86,7 +86,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(boxes_answer_with_their_load_and_tell_of_places_taken)
+BOOST_AUTO_TEST_CASE(boxes_answer_with_their_load_and_the_places_reserved)
 {
     asio::io_context ioc;
     const uint16_t   port = FreeEndpoint().m_Port;
@@ -135,7 +135,7 @@
 }
 
 // An agent of before, or a box that is gone: its silence isn't taken for "there is none".
-BOOST_AUTO_TEST_CASE(a_claim_that_nobody_hears_is_told_from_one_that_is_denied)
+BOOST_AUTO_TEST_CASE(a_claim_without_an_answer_differs_from_a_denied_one)
 {
     asio::io_context   ioc;
     const uint16_t     port = FreeEndpoint().m_Port;
@@ -145,7 +145,7 @@
     BOOST_TEST(!silent.m_Granted.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_claim_in_line_gets_the_place_that_becomes_free)
+BOOST_AUTO_TEST_CASE(a_queued_claim_gets_the_place_that_becomes_free)
 {
     asio::io_context ioc;
     const uint16_t   port = FreeEndpoint().m_Port;
@@ -158,19 +158,19 @@
     asio::co_spawn(
         ioc, [&]() -> awaitable<void> { got = co_await router.m_Places.Claim(boxes, wanted); }, asio::detached);
     const TimePoint end = Now() + seconds(60);
-    while (!box.m_Answers.HasLine() && Now() < end)
+    while (!box.m_Answers.HasQueue() && Now() < end)
         ioc.run_for(milliseconds(2));
-    BOOST_TEST(box.m_Answers.HasLine());
+    BOOST_TEST(box.m_Answers.HasQueue());
     box.m_Load.m_Running = 11;
     box.m_Answers.OnReport(box.m_Load, Now());
     while (!got && Now() < end)
         ioc.run_for(milliseconds(2));
     BOOST_REQUIRE(got.has_value());
     BOOST_TEST(got->m_Granted.has_value());
-    BOOST_TEST(!box.m_Answers.HasLine());
+    BOOST_TEST(!box.m_Answers.HasQueue());
 }
 
-BOOST_AUTO_TEST_CASE(silent_boxes_cost_a_short_wait_and_leave_nothing_behind)
+BOOST_AUTO_TEST_CASE(unresponsive_boxes_cost_a_short_wait_and_leave_no_state)
 {
     asio::io_context ioc;
     const uint16_t   port = FreeEndpoint().m_Port;
--- a/tests/test_server_choice.cpp
+++ b/tests/test_server_choice.cpp
@@ -12,15 +12,15 @@
 {
     Service     s;
     EngineCosts e;
-    e.m_Model        = "m";
-    e.m_Slots        = 4;
-    e.m_StepMs       = 10;
-    e.m_ReadPerMs    = 20;
-    e.m_StepsPerPass = 5;
-    e.m_UsualPrompt  = 1000;
-    e.m_UsualAnswer  = 100;
-    s.m_Name         = "model";
-    s.m_Engine       = e;
+    e.m_Model            = "m";
+    e.m_Slots            = 4;
+    e.m_StepMs           = 10;
+    e.m_ReadPerMs        = 20;
+    e.m_StepsPerPass     = 5;
+    e.m_MeanPromptTokens = 1000;
+    e.m_MeanAnswerTokens = 100;
+    s.m_Name             = "model";
+    s.m_Engine           = e;
     return s;
 }
 
--- a/tests/test_start_plan.cpp
+++ b/tests/test_start_plan.cpp
@@ -12,8 +12,8 @@
 PlanInput Reachable(uint64_t held)
 {
     PlanInput in;
-    in.m_Reachable = true;
-    in.m_Held      = held;
+    in.m_Reachable     = true;
+    in.m_LoadedVersion = held;
     return in;
 }
 
@@ -25,121 +25,121 @@
     PlanInput in = Reachable(0);
     BOOST_TEST(p.NextFetch(in, kStart) == 1u);
     BOOST_TEST(p.NextStart(in, kStart) == 0u);
-    in.m_Fetching   = 1;
-    in.m_FetchWhole = true;
-    in.m_Whole      = 1;
+    in.m_FetchVersion   = 1;
+    in.m_FetchComplete  = true;
+    in.m_NewestComplete = 1;
     BOOST_TEST(p.NextFetch(in, kStart) == 0u);
     BOOST_TEST(p.NextStart(in, kStart) == 1u);
-    in.m_Held = 1;
+    in.m_LoadedVersion = 1;
     BOOST_TEST(p.NextStart(in, kStart) == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(a_server_that_serves_waits_for_its_turn)
+BOOST_AUTO_TEST_CASE(a_server_that_serves_waits_for_its_scheduled_start)
 {
     StartPlan p({});
-    p.OnNamed(2, kStart);
-    PlanInput in    = Reachable(1);
-    in.m_Fetching   = 2;
-    in.m_FetchWhole = true;
-    in.m_Whole      = 2;
-    BOOST_TEST(p.NextStart(in, p.TurnOf(in) - milliseconds(1)) == 0u);
-    BOOST_TEST(p.NextStart(in, p.TurnOf(in)) == 2u);
+    p.OnTargetVersion(2, kStart);
+    PlanInput in        = Reachable(1);
+    in.m_FetchVersion   = 2;
+    in.m_FetchComplete  = true;
+    in.m_NewestComplete = 2;
+    BOOST_TEST(p.NextStart(in, p.ScheduledStart(in) - milliseconds(1)) == 0u);
+    BOOST_TEST(p.NextStart(in, p.ScheduledStart(in)) == 2u);
     in.m_Busy = true;
-    BOOST_TEST(p.NextStart(in, p.TurnOf(in)) == 0u);
+    BOOST_TEST(p.NextStart(in, p.ScheduledStart(in)) == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(a_newer_version_ends_a_fetch_that_began_shortly_before_it)
 {
     StartPlan p({});
-    p.OnNamed(2, kStart);
-    PlanInput in  = Reachable(1);
-    in.m_Fetching = 2;
-    p.OnNamed(3, kStart + seconds(1));
+    p.OnTargetVersion(2, kStart);
+    PlanInput in      = Reachable(1);
+    in.m_FetchVersion = 2;
+    p.OnTargetVersion(3, kStart + seconds(1));
     BOOST_TEST(p.NextFetch(in, kStart + seconds(1)) == 3u);
 }
 
-BOOST_AUTO_TEST_CASE(a_fetch_that_is_nearly_whole_is_ended_before_the_newer_version_is_fetched)
+BOOST_AUTO_TEST_CASE(a_nearly_complete_fetch_is_finished_before_the_newer_version_is_fetched)
 {
     StartPlan p({});
-    p.OnNamed(2, kStart);
-    PlanInput in  = Reachable(1);
-    in.m_Fetching = 2;
-    p.OnNamed(3, kStart + seconds(4));
+    p.OnTargetVersion(2, kStart);
+    PlanInput in      = Reachable(1);
+    in.m_FetchVersion = 2;
+    p.OnTargetVersion(3, kStart + seconds(4));
     BOOST_TEST(p.NextFetch(in, kStart + seconds(4)) == 2u);
-    in.m_FetchWhole = true;
-    in.m_Whole      = 2;
+    in.m_FetchComplete  = true;
+    in.m_NewestComplete = 2;
     BOOST_TEST(p.NextFetch(in, kStart + seconds(4)) == 3u);
-    BOOST_TEST(p.NextStart(in, p.TurnOf(in)) == 2u); // meanwhile the older one serves
+    BOOST_TEST(p.NextStart(in, p.ScheduledStart(in)) == 2u); // meanwhile the older one serves
 }
 
-BOOST_AUTO_TEST_CASE(a_fetch_that_hangs_gives_way_to_the_newer_version_before_its_time_is_up)
+BOOST_AUTO_TEST_CASE(a_fetch_that_hangs_is_given_up_for_the_newer_version_before_its_deadline)
 {
     const StartPlanConfig cfg;
     StartPlan             p(cfg);
-    p.OnNamed(2, kStart);
-    p.OnNamed(3, kStart + seconds(3));
-    PlanInput in  = Reachable(1);
-    in.m_Fetching = 2;
+    p.OnTargetVersion(2, kStart);
+    p.OnTargetVersion(3, kStart + seconds(3));
+    PlanInput in      = Reachable(1);
+    in.m_FetchVersion = 2;
     BOOST_TEST(p.NextFetch(in, kStart + seconds(4)) == 2u);
-    BOOST_TEST(p.NextFetch(in, kStart + cfg.m_Deadline) == 3u);
+    BOOST_TEST(p.NextFetch(in, kStart + cfg.m_WeightsDeadline) == 3u);
 }
 
 // The load: version 3 is named 2 s after version 2, and the origin falls silent 0.5 s later for 6 s.
-BOOST_AUTO_TEST_CASE(while_the_newest_version_stalls_the_one_before_is_fetched_on_and_serves_meanwhile)
+BOOST_AUTO_TEST_CASE(while_the_target_stalls_an_older_version_is_fetched_and_serves)
 {
     StartPlan p({});
-    p.OnNamed(2, kStart);
-    p.OnNamed(3, kStart + seconds(2));
-    PlanInput in  = Reachable(1);
-    in.m_Fetching = 2;
-    in.m_Partial  = 2;
-    TimePoint now = kStart + seconds(2);
+    p.OnTargetVersion(2, kStart);
+    p.OnTargetVersion(3, kStart + seconds(2));
+    PlanInput in       = Reachable(1);
+    in.m_FetchVersion  = 2;
+    in.m_NewestPartial = 2;
+    TimePoint now      = kStart + seconds(2);
     BOOST_TEST(p.NextFetch(in, now) == 3u); // pieces of the newest one come
-    in.m_Fetching   = 3;
-    in.m_FetchQuiet = milliseconds(500);
+    in.m_FetchVersion   = 3;
+    in.m_SinceLastPiece = milliseconds(500);
     BOOST_TEST(p.NextFetch(in, now) == 3u);
-    in.m_FetchQuiet = milliseconds(1000); // and then none any more
+    in.m_SinceLastPiece = milliseconds(1000); // and then none any more
     now += milliseconds(1500);
     BOOST_TEST(p.NextFetch(in, now) == 2u);
-    in.m_Fetching   = 2;
-    in.m_FetchQuiet = milliseconds(100);
+    in.m_FetchVersion   = 2;
+    in.m_SinceLastPiece = milliseconds(100);
     BOOST_TEST(p.NextFetch(in, now) == 2u); // goes on while pieces come
-    in.m_FetchQuiet = milliseconds(1000);
+    in.m_SinceLastPiece = milliseconds(1000);
     BOOST_TEST(p.NextFetch(in, now) == 3u); // neighbours have no more of it
-    in.m_Fetching = 3;
+    in.m_FetchVersion = 3;
     BOOST_TEST(p.NextFetch(in, now) == 2u); // by turns
-    in.m_Fetching   = 2;
-    in.m_FetchQuiet = milliseconds(100);
-    in.m_FetchWhole = true;
-    in.m_Whole      = 2;
-    in.m_Partial    = 0;
+    in.m_FetchVersion   = 2;
+    in.m_SinceLastPiece = milliseconds(100);
+    in.m_FetchComplete  = true;
+    in.m_NewestComplete = 2;
+    in.m_NewestPartial  = 0;
     BOOST_TEST(p.NextFetch(in, now) == 3u);
-    BOOST_TEST(p.NextStart(in, p.TurnOf(in)) == 2u);
+    BOOST_TEST(p.NextStart(in, p.ScheduledStart(in)) == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(a_version_that_could_not_serve_for_long_any_more_is_not_fetched_on)
+BOOST_AUTO_TEST_CASE(a_fallback_that_could_not_serve_for_long_is_not_fetched)
 {
     const StartPlanConfig cfg;
     StartPlan             p(cfg);
-    p.OnNamed(2, kStart);
-    p.OnNamed(3, kStart + seconds(1));
-    PlanInput in    = Reachable(1);
-    in.m_Fetching   = 3;
-    in.m_Partial    = 2;
-    in.m_FetchQuiet = seconds(2);
+    p.OnTargetVersion(2, kStart);
+    p.OnTargetVersion(3, kStart + seconds(1));
+    PlanInput in        = Reachable(1);
+    in.m_FetchVersion   = 3;
+    in.m_NewestPartial  = 2;
+    in.m_SinceLastPiece = seconds(2);
     BOOST_TEST(p.NextFetch(in, kStart + seconds(3)) == 2u);
-    in.m_Fetching = 3;
-    BOOST_TEST(p.NextFetch(in, kStart + seconds(1) + cfg.m_Deadline) == 3u);
+    in.m_FetchVersion = 3;
+    BOOST_TEST(p.NextFetch(in, kStart + seconds(1) + cfg.m_WeightsDeadline) == 3u);
 }
 
 BOOST_AUTO_TEST_CASE(versions_never_go_back)
 {
     StartPlan p({});
-    p.OnNamed(5, kStart);
-    p.OnNamed(4, kStart);
+    p.OnTargetVersion(5, kStart);
+    p.OnTargetVersion(4, kStart);
     BOOST_TEST(p.Target() == 5u);
-    PlanInput in = Reachable(5);
-    in.m_Whole   = 4;
+    PlanInput in        = Reachable(5);
+    in.m_NewestComplete = 4;
     BOOST_TEST(p.NextFetch(in, kStart) == 0u);
     BOOST_TEST(p.NextStart(in, kStart + seconds(60)) == 0u);
 }
@@ -149,43 +149,43 @@
     const StartPlanConfig cfg;
     StartPlan             p(cfg);
     PlanInput             in = Reachable(0);
-    in.m_Whole               = 1;
+    in.m_NewestComplete      = 1;
     p.OnOrderFailed(kStart);
     BOOST_TEST(p.NextStart(in, kStart) == 0u);
-    BOOST_TEST(p.NextStart(in, kStart + cfg.m_OrderPause) == 1u);
+    BOOST_TEST(p.NextStart(in, kStart + cfg.m_OrderRetryDelay) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(turns_lie_within_the_deadline_and_are_spread_evenly)
+BOOST_AUTO_TEST_CASE(scheduled_starts_lie_within_the_deadline_and_are_spread_evenly)
 {
     ALDERVALE_PROPERTY("every box's turn lies between the first and the last one, later for a higher rank",
                        []
                        {
                            const StartPlanConfig cfg;
                            StartPlan             p(cfg);
-                           p.OnNamed(2, kStart);
-                           PlanInput in = Reachable(1);
-                           in.m_Whole   = 2;
-                           in.m_Boxes   = *rc::gen::inRange<size_t>(1, 60);
+                           p.OnTargetVersion(2, kStart);
+                           PlanInput in        = Reachable(1);
+                           in.m_NewestComplete = 2;
+                           in.m_BoxCount       = *rc::gen::inRange<size_t>(1, 60);
                            TimePoint before{};
-                           for (in.m_Rank = 0; in.m_Rank < in.m_Boxes; in.m_Rank++)
+                           for (in.m_StartRank = 0; in.m_StartRank < in.m_BoxCount; in.m_StartRank++)
                            {
-                               const double share = ToSeconds(p.TurnOf(in) - kStart) / ToSeconds(cfg.m_Deadline);
-                               RC_ASSERT(share >= cfg.m_FirstTurn - 1e-6);
-                               RC_ASSERT(share <= cfg.m_LastTurn + 1e-6);
-                               RC_ASSERT(p.TurnOf(in) > before);
-                               before = p.TurnOf(in);
+                               const double share = ToSeconds(p.ScheduledStart(in) - kStart) / ToSeconds(cfg.m_WeightsDeadline);
+                               RC_ASSERT(share >= cfg.m_FirstStartShare - 1e-6);
+                               RC_ASSERT(share <= cfg.m_LastStartShare + 1e-6);
+                               RC_ASSERT(p.ScheduledStart(in) > before);
+                               before = p.ScheduledStart(in);
                            }
                        });
 }
 
-BOOST_AUTO_TEST_CASE(a_plan_tells_since_when_newer_versions_than_the_held_one_are_named)
+BOOST_AUTO_TEST_CASE(a_plan_reports_how_long_ago_newer_versions_were_declared)
 {
     StartPlan p({});
-    BOOST_TEST(p.NamedAfter(1, kStart).empty());
-    p.OnNamed(2, TimePoint{}); // before this process started
-    p.OnNamed(3, kStart);
+    BOOST_TEST(p.DeclaredAges(1, kStart).empty());
+    p.OnTargetVersion(2, TimePoint{}); // before this process started
+    p.OnTargetVersion(3, kStart);
     const std::vector<NamedAge> want = {{2, -1}, {3, 500}};
-    BOOST_TEST((p.NamedAfter(1, kStart + milliseconds(500)) == want));
+    BOOST_TEST((p.DeclaredAges(1, kStart + milliseconds(500)) == want));
     const std::vector<NamedAge> newest = {{3, 500}}; // told also by who holds it
-    BOOST_TEST((p.NamedAfter(3, kStart + milliseconds(500)) == newest));
+    BOOST_TEST((p.DeclaredAges(3, kStart + milliseconds(500)) == newest));
 }
