--- a/src/version/model_knowledge.cpp
+++ b/src/version/model_knowledge.cpp
@@ -1,4 +1,4 @@
-// What an agent knows of its server's model. See model_knowledge.h.
+// Model name, origin of the weights and target version, as an agent has learned them. See model_knowledge.h.
 #include "version/model_knowledge.h"
 #include "common/hash.h"
 
@@ -15,7 +15,8 @@
     return WeightOrigin{*n.m_Origin, n.m_OriginMbps, n.m_OriginConnections};
 }
 
-const Service* FindModelService(const RouteTableSpec& spec, const std::string& name) // null: none
+const Service* FindModelService(const RouteTableSpec& spec,
+                                const std::string&    name) // null: no such service, or its weights are not distributed in pieces
 {
     for (const Service& s : spec.m_Services)
         if (s.m_Name == name && s.m_Engine && s.m_Engine->m_Pieces > 0)
@@ -48,7 +49,7 @@
     m_Declared        = declared;
     if (first)
         m_Model = model;
-    if (origin) // one that went away may still answer
+    if (origin) // an origin that was removed from the declarations may still answer, so it is kept
         m_Origin = origin;
     return first || !SameOrigin(before, m_Origin);
 }
@@ -61,7 +62,7 @@
     const bool changed  = ApplyDeclarations(naming.m_Declared, naming.m_Model, OriginOf(naming));
     const bool has_time = naming.m_At != TimePoint{};
     RecordVersion(naming.m_Model, {naming.m_Version, has_time ? naming.m_At : ReceiveTime(now)});
-    // The same version may be known from the first read, at an unknown time.
+    // The same version may be there from the first read, with an unknown time.
     DeclaredVersion& newest = m_NewestByModel[naming.m_Model];
     if (has_time && naming.m_Version == newest.m_Version && newest.m_At == TimePoint{})
         newest.m_At = naming.m_At;
@@ -74,7 +75,8 @@
     return service != nullptr && ApplyDeclarations(spec.m_Version, service->m_Engine->m_Model, spec.m_Origin);
 }
 
-// Without the own service it was for nothing. Going on to follow the table would bring the first declarations to all agents at once.
+// A read that didn't contain the agent's service is repeated after a longer wait. Following the table continuously instead would send the first
+// declarations to all agents at the same time.
 void ModelKnowledge::OnFullRead(TimePoint now)
 {
     OnVersionRowsRead();
@@ -95,7 +97,7 @@
         RecordVersion(m_Model, {version, ReceiveTime(now)});
 }
 
-// Only a newer version replaces the one known: later reads repeat it, and its time was known best when it came.
+// Only a newer version replaces the recorded one: later reads repeat it, and the first time of receipt is the most accurate.
 void ModelKnowledge::RecordVersion(std::string_view model, const DeclaredVersion& named)
 {
     DeclaredVersion& newest = m_NewestByModel[std::string(model)];
--- a/src/version/model_knowledge.h
+++ b/src/version/model_knowledge.h
@@ -1,24 +1,25 @@
-// aldervale: what an agent knows of its server's model: its name, where its weights come from, and the newest version named
+// aldervale: what an agent has learned about its server's model: its name, the origin of its weights, and the target version
 //
-// Pure. The operators' table holds all of it, but in a row as long as the declarations: 30 agents of a region that read 1.1 MB each over a link of
-// 3 MB/s between regions take 11 s. So agents read only the few short rows that name weights, and learn the rest from routers, which tell
-// every box with each request for reports, once a second or more often.
-//   - Model and origin are those of the teller with the newest declarations so far. One with older declarations is late, or starts: it changes
-//     nothing, whatever it says and however often. A model once known stays, as long as the process lives.
-//   - An agent that nobody tells of its model reads the whole table as a last resort. Agents wait for that by differing times, and twice as long
-//     after each read that didn't hold the own service.
+// Pure. The origin is the server that weights come from first; the target version is the version of the model's weights that operators declared
+// last. The table of declarations (the configuration that operators declare) holds all of this, but in one row with all other declarations: 30 agents
+// of a region that read 1.1 MB each over a link of 3 MB/s between regions take 11 s. So agents read only the few short rows that hold target versions
+// and get the rest from routers, which send it to every box with each request for a load report, once a second or more often.
+//   - Model and origin come from the sender with the newest declarations so far. A sender with older declarations lags behind or has just started;
+//     its updates change neither, however often they arrive. The model's name, once set, stays for the lifetime of the process.
+//   - An agent that gets no update about its model reads the whole table as a last resort. The wait before that differs from box to box, and
+//     doubles after each read that didn't contain the agent's service.
 //
-// When a version was named decides until when older ones may serve, so a time that isn't known is said so (default TimePoint):
-//   - A router may tell the time itself; it is taken before any other.
-//   - What the first read of the named versions tells may have been named at any time, also before this process began.
-//   - Once that read is over, a version that it didn't tell was named after it, and routers and neighbours tell of one at once: the time
-//     of hearing of it. That holds whether or not the own model was known at that read, since versions are kept with their time for all models.
+// The time of declaration of a version decides until when older versions may serve, so an unknown time is stated as such (default TimePoint):
+//   - A router may state the time itself. It takes precedence.
+//   - Versions in the first read of the rows may have been declared at any time, also before this process started: the time is unknown.
+//   - A version that was not in that first read was declared after it. Routers and neighbours report a new version at once, so the time of receipt
+//     is taken. This also holds if the agent's model was unknown at the first read, since versions are kept with their times for all models.
 //
 // Usage (src/programs/platform_agent.cpp):
 //   ModelKnowledge k(service, own_address, Now());
 //   k.OnRouterUpdate(naming, Now()); k.OnRow(model, version, Now()); k.OnVersionRowsRead();
-//   if (k.NeedsFullRead(Now())) ...                     // read the whole table
-//   k.Model(); k.Origin(); k.Newest();             // what is known now
+//   if (k.NeedsFullRead(Now())) ...                // read the whole table
+//   k.Model(); k.Origin(); k.Newest();             // the current state
 
 #pragma once
 #include "connection/load_channel.h"
@@ -27,52 +28,52 @@
 namespace aldervale
 {
 
-constexpr auto   kFullReadWaitMin    = milliseconds(5000);  // least wait for a router to tell the model before the whole table is read
-constexpr auto   kFullReadWaitSpread = milliseconds(5000);  // and up to this much more, by hash of the own address: boxes start by the dozen
-constexpr auto   kFullReadWaitMax    = milliseconds(80000); // of that wait, after reads without the own service
-constexpr auto   kRouterUpdateMaxAge = milliseconds(3500);  // routers tell every second
-constexpr size_t kFullReadWaitSteps  = 64;                  // differing waits
+constexpr auto   kFullReadWaitMin    = milliseconds(5000);  // shortest wait for a router's update before the whole table is read
+constexpr auto   kFullReadWaitSpread = milliseconds(5000);  // largest addition, by a hash of the box's address: many boxes start at the same time
+constexpr auto   kFullReadWaitMax    = milliseconds(80000); // upper bound of the wait, which doubles after reads without the agent's service
+constexpr auto   kRouterUpdateMaxAge = milliseconds(3500);  // routers send an update every second
+constexpr size_t kFullReadWaitSteps  = 64;                  // number of different waits within kFullReadWaitSpread
 
 struct DeclaredVersion
 {
-    uint64_t  m_Version = 0; // 0: none is known
-    TimePoint m_At{};        // when; default: not known
+    uint64_t  m_Version = 0; // 0: none
+    TimePoint m_At{};        // time of declaration; default: unknown
 };
 
-class ModelKnowledge // touched on one thread
+class ModelKnowledge // used on one thread only
 {
 public:
     ModelKnowledge(std::string service, std::string_view own_address, TimePoint now);
 
-    // What was told; true: model or origin changed
-    bool OnRouterUpdate(const ModelNaming& naming, TimePoint now);   // by a router, perhaps of another service
-    bool OnDeclarations(const RouteTableSpec& spec);                 // by the store
-    void OnRow(std::string_view model, uint64_t version, TimePoint); // by the store: one row that names weights
-    void OnNeighbourVersion(uint64_t version, TimePoint now);        // by a neighbour, of the own model
-    void OnVersionRowsRead() { m_RowsRead = true; }                  // all rows of one read were handed on
-    void OnFullRead(TimePoint now);                                  // the same, of the whole table
+    // Updates. Those with a result return whether model or origin changed.
+    bool OnRouterUpdate(const ModelNaming& naming, TimePoint now);   // from a router, possibly about another service
+    bool OnDeclarations(const RouteTableSpec& spec);                 // from a read of the whole table
+    void OnRow(std::string_view model, uint64_t version, TimePoint); // one row with a model's target version
+    void OnNeighbourVersion(uint64_t version, TimePoint now);        // of the agent's model, from an agent of the same service on another box
+    void OnVersionRowsRead() { m_RowsRead = true; }                  // all rows of one read have been passed to OnRow()
+    void OnFullRead(TimePoint now);                                  // the same for a read of the whole table
 
-    bool NeedsFullRead(TimePoint now) const; // the whole table, until a router or the table tells the model
+    bool NeedsFullRead(TimePoint now) const; // the whole table must be read because neither a router nor a table read gave the model
     bool HasRecentRouterUpdate(TimePoint now) const { return m_RouterUpdateAt != TimePoint{} && now - m_RouterUpdateAt < kRouterUpdateMaxAge; }
-    const std::string&                 Model() const { return m_Model; }
-    const std::optional<WeightOrigin>& Origin() const { return m_Origin; }
-    uint64_t                           DeclarationsVersion() const { return m_Declared; }
-    DeclaredVersion                    Newest() const; // of the own model
+    const std::string&                 Model() const { return m_Model; }   // empty: not known
+    const std::optional<WeightOrigin>& Origin() const { return m_Origin; } // nullopt: not known
+    uint64_t        DeclarationsVersion() const { return m_Declared; }     // version of the declarations that model and origin come from
+    DeclaredVersion Newest() const;                                        // target version of the agent's model
 
 private:
     bool      ApplyDeclarations(uint64_t declared, const std::string& model, const std::optional<WeightOrigin>& origin);
     void      RecordVersion(std::string_view model, const DeclaredVersion& named);
     TimePoint ReceiveTime(TimePoint now) const { return m_RowsRead ? now : TimePoint{}; }
 
-    std::string                                         m_Service;             //
-    std::string                                         m_Model;               // empty: not known
-    std::optional<WeightOrigin>                         m_Origin;              // none: not known
-    uint64_t                                            m_Declared = 0;        // version of the declarations that told both; never falls
-    std::map<std::string, DeclaredVersion, std::less<>> m_NewestByModel;       // newest one of each model; may come before the own model is known
-    bool                                                m_RowsRead = false;    // the rows that name weights were read once
-    Duration                                            m_FullReadWait{};      // see NeedsFullRead()
-    TimePoint                                           m_RouterUpdateAt{};    // when a router last told anything of the own model
-    TimePoint                                           m_FullReadWaitStart{}; // start, or last own read of the whole table
+    std::string                                         m_Service;          //
+    std::string                                         m_Model;            // empty: not known
+    std::optional<WeightOrigin>                         m_Origin;           // none: not known
+    uint64_t                                            m_Declared = 0;     // see DeclarationsVersion(); never decreases
+    std::map<std::string, DeclaredVersion, std::less<>> m_NewestByModel;    // newest version of each model, also before m_Model is known
+    bool                                                m_RowsRead = false; // the rows with target versions have been read at least once
+    Duration                                            m_FullReadWait{};   // current wait before a read of the whole table
+    TimePoint m_RouterUpdateAt{};    // when a router last sent an update about the agent's service; default: never
+    TimePoint m_FullReadWaitStart{}; // start of the process, or of the wait since the last read of the whole table
 };
 
 } // namespace aldervale
--- a/src/version/place_answers.cpp
+++ b/src/version/place_answers.cpp
@@ -1,4 +1,4 @@
-// Answers to routers that ask for a place. See place_answers.h.
+// Answers to routers that ask for a place or claim one. See place_answers.h.
 #include "version/place_answers.h"
 #include "common/metrics.h"
 
--- a/src/version/place_answers.h
+++ b/src/version/place_answers.h
@@ -1,10 +1,12 @@
 // aldervale: answers routers that ask a box for a place at its model server, or claim one
 //
-// The shell around PlacePromises and PlaceLine: takes questions from the load channel, has the own server's report read again where the last one is
-// older than kReportMaxAge, and answers. A question that waited for longer than kQuestionMaxAge is dropped: its router went by reports.
+// A place is capacity for one more concurrent request at a model server. A claim is a request to reserve the next free place; it may wait in a queue.
+// PlaceAnswers connects the logic in PlacePromises (reserved places) and PlaceLine (queue of claims) to the load channel: it receives questions, has
+// the local server's report fetched again if the last one is older than kReportMaxAge, and answers. A question that has waited for longer than
+// kQuestionMaxAge is dropped, because its router has decided by the last reports in the meantime.
 //
 // Usage (src/version/weight_keeper.cpp):
-//   PlaceAnswers answers(publisher, [this] { m_Wake.cancel(); });
+//   PlaceAnswers answers(publisher, [this] { m_ReportTimer.cancel(); });
 //   answers.OnReport(load, asked_at);          // after each report
 
 #pragma once
@@ -15,18 +17,18 @@
 namespace aldervale
 {
 
-constexpr auto kReportMaxAge      = milliseconds(15); // a request comes to a server each 200 ms, one ends as often
-constexpr auto kQuestionMaxAge    = milliseconds(50); // a router waits for less
-constexpr auto kQueuePollInterval = milliseconds(10); // between reports while claims stand in line: a slot stays empty for half of it
+constexpr auto kReportMaxAge      = milliseconds(15); // a request arrives at a server about every 200 ms, and one ends as often
+constexpr auto kQuestionMaxAge    = milliseconds(50); // a router waits for less than this
+constexpr auto kQueuePollInterval = milliseconds(10); // between reports while claims are queued: a free slot stays empty for half of it on average
 
-class PlaceAnswers // touched on one thread
+class PlaceAnswers // used on one thread only
 {
 public:
     PlaceAnswers(LoadPublisher& publisher, std::function<void()> want_report);
 
     void OnReport(const LoadReport& load, TimePoint asked_at);
-    void OnServerStarted() { m_Places.Clear(); }       // a new lifetime of it
-    bool HasQueue() const { return !m_Queue.Empty(); } // reports are wanted each kQueuePollInterval
+    void OnServerStarted() { m_Places.Clear(); }       // a new incarnation of the server
+    bool HasQueue() const { return !m_Queue.Empty(); } // true: reports are needed every kQueuePollInterval
 
 private:
     struct PendingQuestion
@@ -51,15 +53,15 @@
     void Answer(const PlaceQuestion& question, TimePoint now);
 
     LoadPublisher&               m_Publisher;        //
-    std::function<void()>        m_RequestReport;    // soon
-    PlacePromises                m_Places;           //
-    PlaceLine                    m_Queue;            //
-    LoadReport                   m_Load;             // as last reported
-    TimePoint                    m_ReportAskedAt{};  // when that report was asked for; default: there was none
-    std::vector<PendingQuestion> m_PendingQuestions; // for a report; each less than kQuestionMaxAge
-    std::vector<ReceivedClaim>   m_PendingClaims;    // the same
+    std::function<void()>        m_RequestReport;    // has the local server's report fetched without delay
+    PlacePromises                m_Places;           // reserved places
+    PlaceLine                    m_Queue;            // claims that wait for a place
+    LoadReport                   m_Load;             // last report
+    TimePoint                    m_ReportAskedAt{};  // when m_Load was requested from the server; default: no report yet
+    std::vector<PendingQuestion> m_PendingQuestions; // wait for a report, each for at most kQuestionMaxAge
+    std::vector<ReceivedClaim>   m_PendingClaims;    // likewise
 
-    std::unordered_map<std::string, PlaceQuestion> m_QueuedClaims; // whom to tell, by the claim's key; of m_Queue
+    std::unordered_map<std::string, PlaceQuestion> m_QueuedClaims; // where the answers to the claims in m_Queue go, by the claim's key
 };
 
 } // namespace aldervale
--- a/src/version/route_table.cpp
+++ b/src/version/route_table.cpp
@@ -1,4 +1,4 @@
-// Matching requests against one declared version. See route_table.h.
+// Matches requests against one version of the declarations. See route_table.h.
 #include "version/route_table.h"
 #include "common/hash.h"
 #include <algorithm>
--- a/src/version/start_plan.cpp
+++ b/src/version/start_plan.cpp
@@ -1,4 +1,4 @@
-// What an agent does next about its server's weights. See start_plan.h.
+// Decides which version of the weights to fetch and to start. See start_plan.h.
 #include "version/start_plan.h"
 
 namespace aldervale
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr size_t kDeclaredVersionsKept = 8; // versions whose time of naming is remembered
+constexpr size_t kDeclaredVersionsKept = 8; // newest versions whose time of declaration is kept
 
 }
 
@@ -29,7 +29,7 @@
     return out;
 }
 
-// An older version is worth fetching on while it may still serve for longer than a start takes, and as long as its pieces come.
+// Fetching an older version is worthwhile while its pieces keep arriving and it could still serve for longer than a start takes.
 uint64_t StartPlan::NextFallback(const PlanInput& in, TimePoint now) const
 {
     const bool     stalled   = in.m_SinceLastPiece > m_Config.m_StallTimeout;
--- a/src/version/start_plan.h
+++ b/src/version/start_plan.h
@@ -1,23 +1,34 @@
-// aldervale: what the agent of one model server does next about its weights
+// aldervale: decides which version of a model's weights the agent of one model server fetches, and which one it starts
 //
-// Pure. An agent is the only one that gives orders to its server, so no lease or fencing is needed: a rule that each applies alone takes
-// the place of a controller.
+// Pure: no input or output, and the time is passed in. An agent is the only process that orders its server to start a version, so no lease and no
+// fencing is needed. Each agent applies the rules below by itself; there is no controller.
 //
-// Rules:
-//   - The newest named version is the target. A version that is being fetched when a newer one is named is given up, unless it was named
-//     m_KeepFetchMinLead or longer before the newer one: then it is nearly whole, and serving it bridges the time until the newer one is there.
-//     It is given up all the same when it isn't whole m_KeepFetchShare into its time: the origin fails, and the newer one would come too late too.
-//   - When no piece of the target has come for m_StallTimeout (the origin is away) a version before it of which pieces are here is fetched
-//     on from the neighbours, until it is whole or stalls too: it may serve until the target's deadline. With version 2 given up at 3's
-//     naming and the origin silent for the 6 s after, no server might begin a request for 5 s.
-//   - Of the versions that are whole here the newest is started. A server that holds nothing starts at once. One that serves an older
-//     version waits for its turn: turns are spread evenly, in an order that every box computes alike, so that few leave the pool at once.
-//     They lie within the time that a version has to come into force.
+// Terms:
+//   - Target version: the version of the model's weights that operators declared last.
+//   - Weights deadline: the time after the declaration of a version from which no server may start a request on an older version.
+//   - Piece: one of the numbered parts that a version's weights are cut into. A version is complete on a box when all its pieces are there.
+//   - Neighbour: an agent of the same service on another box. Neighbours hand pieces to each other.
+//
+// Rules for fetching:
+//   - The agent fetches the target version. If a newer version is declared during a fetch, the fetch is given up and the newer version is fetched.
+//   - Exception: a fetch is finished first if its version was declared m_KeepFetchMinLead or longer before the newer one. It is nearly complete
+//     then, and serving it bridges the time until the newer version is complete.
+//   - The exception ends when m_KeepFetchShare of the version's weights deadline has passed and it still isn't complete: the origin is failing, and
+//     waiting longer would make the newer version late as well.
+//   - When no piece of the target has arrived for m_StallTimeout (the origin is unreachable), the agent falls back to an older version of which it
+//     has some pieces and fetches the others from neighbours, until that version is complete or stalls too. It may serve until the target's weights
+//     deadline. Without this rule, when version 2 was given up as version 3 was declared and the origin then stopped answering for 6 s, no server
+//     could start a request for 5 s.
+//
+// Rules for starting:
+//   - The newest complete version is started. A server without any version starts it at once.
+//   - A server that serves an older version waits for its scheduled start. The starts of all boxes are spread evenly over a part of the weights
+//     deadline, in an order that every box computes alike, so that only few servers are out of service at the same time.
 //
 // Usage:
 //   StartPlan p(config);
 //   p.OnTargetVersion(7, now);
-//   uint64_t fetch = p.NextFetch(input);  uint64_t start = p.NextStart(input, now);      // 0: nothing to do
+//   uint64_t fetch = p.NextFetch(input, now);  uint64_t start = p.NextStart(input, now);      // 0: nothing to do
 
 #pragma once
 #include "common/clock.h"
@@ -28,31 +39,31 @@
 namespace aldervale
 {
 
-constexpr double kWeightsDeadlineMaxMs = 3'600'000; // a setting's bound: an hour; weights named longer ago are everywhere
+constexpr double kWeightsDeadlineMaxMs = 3'600'000; // 1 hour, the upper bound of the setting: weights declared longer ago have reached every box
 
 struct StartPlanConfig
 {
-    Duration m_WeightsDeadline  = milliseconds(8000); // from naming a version until no older one may begin a request
-    double   m_FirstStartShare  = 0.42; // part of m_WeightsDeadline at which the first box's turn comes: pieces are whole some 3.4 s after a naming
-    double   m_LastStartShare   = 0.80; // and the last one's
-    Duration m_KeepFetchMinLead = milliseconds(2500); // see the rules
-    double   m_KeepFetchShare   = 0.7;                // part of m_WeightsDeadline; see the rules
-    Duration m_StallTimeout     = milliseconds(900);  // without a piece: one takes 0.25 s on a full link, and waits some 0.12 s in a queue
-    Duration m_OrderRetryDelay  = milliseconds(300);  // after an order that was refused or not answered
+    Duration m_WeightsDeadline  = milliseconds(8000); // see the terms
+    double   m_FirstStartShare  = 0.42;               // of m_WeightsDeadline, start of the first box: pieces are complete after about 3.4 s
+    double   m_LastStartShare   = 0.80;               // of m_WeightsDeadline, start of the last box
+    Duration m_KeepFetchMinLead = milliseconds(2500); // a fetch is finished if its version was declared this much earlier than the newer one
+    double   m_KeepFetchShare   = 0.7;                // of m_WeightsDeadline, until which an older version is still fetched
+    Duration m_StallTimeout     = milliseconds(900);  // without a piece: one takes 0.25 s on a full link and queues for about 0.12 s
+    Duration m_OrderRetryDelay  = milliseconds(300);  // after an order that the server refused or didn't answer
 };
 
-struct PlanInput
+struct PlanInput // state of the box at the time of a decision
 {
-    bool     m_Reachable     = false; // the own server answered lately
-    bool     m_Busy          = false; // an order is under way there
-    uint64_t m_LoadedVersion = 0;     // version that the server holds whole; 0: none
+    bool     m_Reachable     = false; // the server answers requests for its report
+    bool     m_Busy          = false; // the server is carrying out an order
+    uint64_t m_LoadedVersion = 0;     // version that the server serves; 0: none
     uint64_t m_FetchVersion  = 0;     // version being fetched, or fetched last; 0: none
-    bool     m_FetchComplete = false; // all its pieces are here
-    Duration m_SinceLastPiece{};      // since the last piece of what is fetched
-    uint64_t m_NewestPartial  = 0;    // newest version before the target of which some pieces are here, not all; 0: none
+    bool     m_FetchComplete = false; // all pieces of m_FetchVersion are here
+    Duration m_SinceLastPiece{};      // time since the last piece of m_FetchVersion arrived
+    uint64_t m_NewestPartial  = 0;    // newest version older than the target of which some pieces are here, but not all; 0: none
     uint64_t m_NewestComplete = 0;    // newest version of which all pieces are here; 0: none
-    size_t   m_StartRank      = 0;    // of this box in the order of turns for m_NewestComplete
-    size_t   m_BoxCount       = 1;    // that take turns
+    size_t   m_StartRank      = 0;    // position of this box in the order of starts of m_NewestComplete, from 0
+    size_t   m_BoxCount       = 1;    // boxes in that order, this one included
 };
 
 class StartPlan
@@ -60,23 +71,22 @@
 public:
     explicit StartPlan(const StartPlanConfig& cfg) : m_Config(cfg) {}
 
-    void                  OnTargetVersion(uint64_t version, TimePoint declared_at); // older ones than the newest known are ignored
+    void                  OnTargetVersion(uint64_t version, TimePoint declared_at); // ignored unless newer than all before
     void                  OnOrderFailed(TimePoint now) { m_NextOrderAt = now + m_Config.m_OrderRetryDelay; }
-    std::vector<NamedAge> DeclaredAges(uint64_t  loaded_version,
-                                       TimePoint now) const; // the newest version named, and each other one newer than `held`
+    std::vector<NamedAge> DeclaredAges(uint64_t loaded_version, TimePoint now) const; // of the target and of each version newer than the loaded one
     uint64_t              Target() const { return m_DeclaredAt.empty() ? 1 : m_DeclaredAt.rbegin()->first; } // versions begin at 1
 
-    uint64_t  NextFetch(const PlanInput& in, TimePoint now);       // version whose pieces to get
-    uint64_t  NextStart(const PlanInput& in, TimePoint now) const; // version to start
-    TimePoint ScheduledStart(const PlanInput& in) const;           // when this box may leave the pool for in.m_NewestComplete
+    uint64_t  NextFetch(const PlanInput& in, TimePoint now);       // version to fetch; 0: none
+    uint64_t  NextStart(const PlanInput& in, TimePoint now) const; // version to order the server to start; 0: none
+    TimePoint ScheduledStart(const PlanInput& in) const;           // earliest start of in.m_NewestComplete on a server that serves an older version
 
 private:
     StartPlanConfig               m_Config;              //
-    std::map<uint64_t, TimePoint> m_DeclaredAt;          // when each version became known here
-    TimePoint                     m_NextOrderAt{};       // no order before
-    uint64_t                      m_FallbackVersion = 0; // version that is fetched because the target stalled; 0: none
+    std::map<uint64_t, TimePoint> m_DeclaredAt;          // time of declaration by version; default: unknown, before this process started
+    TimePoint                     m_NextOrderAt{};       // no order is given before this time
+    uint64_t                      m_FallbackVersion = 0; // older version that is fetched because the target stalled; 0: none
 
-    uint64_t NextFallback(const PlanInput& in, TimePoint now) const; // 0: none
+    uint64_t NextFallback(const PlanInput& in, TimePoint now) const; // older version to fetch while the target stalls; 0: none
 };
 
 } // namespace aldervale
--- a/src/version/weight_keeper.cpp
+++ b/src/version/weight_keeper.cpp
@@ -1,4 +1,4 @@
-// Keeps one model server at the newest named weights. See weight_keeper.h.
+// Keeps one model server at the target version of its weights. See weight_keeper.h.
 #include "version/weight_keeper.h"
 #include "common/log.h"
 
@@ -8,16 +8,16 @@
 namespace
 {
 
-constexpr auto     kReportInterval     = milliseconds(75);  // of the own server
+constexpr auto     kReportInterval     = milliseconds(75);  // between reports of the local server
 constexpr auto     kReportTimeout      = milliseconds(400); //
-constexpr unsigned kMissedReportsMax   = 2;                 // reports in a row without an answer after which the server counts as lost
+constexpr unsigned kMissedReportsMax   = 2;                 // missed reports in a row after which the server counts as unreachable
 constexpr auto     kPlanInterval       = milliseconds(100); //
-constexpr auto     kPieceTimeout       = milliseconds(800); // for putting or reading one piece
+constexpr auto     kPieceTimeout       = milliseconds(800); // for staging or reading one piece
 constexpr auto     kOrderTimeout       = milliseconds(800); // for the answer to an order
-constexpr auto     kOrderEffectTimeout = seconds(6);        // an order that shows no effect for this long is given again
+constexpr auto     kOrderEffectTimeout = seconds(6);        // an order without a visible effect is repeated after this time
 constexpr auto     kDrainTimeout =
-    milliseconds(1400); // from telling routers that nothing new is taken to the order, which cuts what still runs: a usual stream takes some 1.2 s
-constexpr auto kRouterNotifyDelay = milliseconds(25); // least of it: a datagram's way
+    milliseconds(1400); // from the notice to routers until the order, which cuts off running requests: a typical stream takes about 1.2 s
+constexpr auto kRouterNotifyDelay = milliseconds(25); // shortest drain: the transit time of a datagram to routers
 constexpr auto kDrainPollInterval = milliseconds(25); //
 
 } // namespace
@@ -42,11 +42,11 @@
         m_Daemon.Ioc(), [this] { return PlanLoop(); }, asio::detached);
 }
 
-void WeightKeeper::OnTargetVersion(uint64_t version, TimePoint named_at)
+void WeightKeeper::OnTargetVersion(uint64_t version, TimePoint declared_at)
 {
     if (version <= m_Plan.Target())
         return;
-    m_Plan.OnTargetVersion(version, named_at);
+    m_Plan.OnTargetVersion(version, declared_at);
     LogEvent(Event_WeightsNamed, {{"model", m_Model}, {"version", version}, {"held", m_Report.m_Weights}});
 }
 
@@ -61,7 +61,7 @@
     LoadReport r;
     r.m_Running  = m_Report.m_Running;
     r.m_Waiting  = m_Report.m_Waiting;
-    r.m_Pace     = static_cast<float>(std::max(m_Report.m_Pace, m_Transfer.Slowdown())); // a request waits on the link as well
+    r.m_Pace     = static_cast<float>(std::max(m_Report.m_Pace, m_Transfer.Slowdown())); // the larger value: a request also waits on the link
     r.m_Weights  = m_Reachable ? m_Report.m_Weights : 0;
     r.m_BornMs   = m_Report.m_BornMs;
     r.m_Starting = m_StartInProgress && m_Draining;
@@ -74,8 +74,8 @@
     m_Publisher.Publish(Load());
 }
 
-// A server that started again holds nothing of before: an order that it was given then is neither under way nor carried out, and what was put
-// beside it has to be looked at again.
+// A restarted server has no weights loaded: an order from before its restart is neither in progress nor done, and the staged pieces have to be
+// checked again.
 bool WeightKeeper::AcceptReport(const ServerReport& report)
 {
     if (ServerLife::Earlier(report.m_BornMs, m_Report.m_BornMs))
@@ -172,7 +172,7 @@
     m_Draining = true;
     Publish();
     co_await SleepFor(kRouterNotifyDelay);
-    // A report that was asked for earlier may be older than the last request that came.
+    // A report that was requested before this moment may be older than the last request that arrived.
     const TimePoint notified = Now();
     const TimePoint end      = notified + kDrainTimeout;
     const auto      idle     = [&] { return m_ReportAskedAt >= notified && m_Report.m_Running + m_Report.m_Waiting == 0; };
@@ -185,16 +185,16 @@
     const PieceSet* found = m_Transfer.Find(version);
     if (found == nullptr || !found->IsComplete())
         co_return;
-    const PieceSet set   = *found; // shares the bytes; the transfer may drop its own
-    m_StartInProgress    = true;
-    m_OrderedVersion     = version;
-    m_OrderedAt          = {};
-    m_Draining           = false;
-    const int64_t born   = m_Report.m_BornMs;
-    bool          staged = co_await CheckStaged(set); // while the server still serves: what turns bad after it has no time to matter
+    const PieceSet set = *found; // shares the bytes; the transfer may drop its set meanwhile
+    m_StartInProgress  = true;
+    m_OrderedVersion   = version;
+    m_OrderedAt        = {};
+    m_Draining         = false;
+    const int64_t born = m_Report.m_BornMs;
+    bool staged = co_await CheckStaged(set); // while the server still serves; the time in which a piece could become corrupt afterwards is short
     if (staged)
         co_await DrainServer();
-    staged = staged && !ServerLife::Earlier(born, m_Report.m_BornMs); // a new lifetime holds nothing of it
+    staged = staged && !ServerLife::Earlier(born, m_Report.m_BornMs); // a restarted server has to be staged again
     if (!staged)
     {
         m_Plan.OnOrderFailed(Now());
@@ -208,7 +208,7 @@
     {
         LogEvent(Event_StartOrdered, {{"model", m_Model}, {"version", version}, {"answered", outcome == StartOutcome_Begun}});
         m_OrderedAt     = Now();
-        m_Report.m_Busy = true; // until a report says otherwise
+        m_Report.m_Busy = true; // until the next report
         co_return;
     }
     if (outcome == StartOutcome_Refused)
--- a/src/version/weight_keeper.h
+++ b/src/version/weight_keeper.h
@@ -1,8 +1,9 @@
-// aldervale: keeps the weights of one box's model server at the newest named version
+// aldervale: keeps the weights of one box's model server at the target version
 //
-// The shell around StartPlan and PieceTransfer: watches the own server's report, which is fresh and free on its box, tells routers of it,
-// fetches what the plan asks for, checks every piece where it lies while the server still serves, has routers send nothing new for a short
-// while, and orders the start.
+// The target version is the version of the model's weights that operators declared last. WeightKeeper connects the decisions of StartPlan to
+// PieceTransfer and the model server: it polls the local server's report, which costs little on the same box, publishes it to routers, fetches the
+// version that the plan chooses, checks every staged piece while the server still serves, has routers send no new requests for a short while, and
+// orders the server to start the version.
 //
 // Usage (src/programs/platform_agent.cpp):
 //   WeightKeeper k(daemon, plan, server, transfer, publisher);
@@ -24,18 +25,18 @@
     WeightKeeper(Daemon& daemon, const StartPlanConfig& plan, ModelServer& server, PieceTransfer& transfer, LoadPublisher& publisher);
 
     void         Start();
-    void         SetModel(const std::string& model);                    // empty: not known yet, nothing is done
-    void         OnTargetVersion(uint64_t version, TimePoint named_at); // default: at an unknown time before this process began, its turn has come
-    bool         Serving() const { return m_Reachable && m_Report.m_Weights > 0; }
+    void         SetModel(const std::string& model);                               // empty: not known yet, nothing is fetched or started
+    void         OnTargetVersion(uint64_t version, TimePoint declared_at);         // default time: unknown, long ago; its scheduled start has passed
+    bool         Serving() const { return m_Reachable && m_Report.m_Weights > 0; } // the server is reachable and has weights loaded
     json::object Describe() const;
 
 private:
     awaitable<void> ReportLoop();
-    bool            AcceptReport(const ServerReport& report); // false: of an earlier lifetime than the known one
+    bool            AcceptReport(const ServerReport& report); // false: the report is from an earlier incarnation of the server
     awaitable<void> PlanLoop();
     awaitable<void> StageAndStart(uint64_t version);
-    awaitable<void> DrainServer();                    // routers send nothing new; what is short ends by itself
-    awaitable<bool> CheckStaged(const PieceSet& set); // true: every piece lies at the server as it should
+    awaitable<void> DrainServer();                    // routers send no new requests, and short requests end meanwhile
+    awaitable<bool> CheckStaged(const PieceSet& set); // true: every piece is staged at the server with the right content
     LoadReport      Load() const;
     void            Publish();
 
@@ -43,18 +44,18 @@
     ModelServer&       m_Server;                  //
     PieceTransfer&     m_Transfer;                //
     LoadPublisher&     m_Publisher;               //
-    asio::steady_timer m_ReportTimer;             // of ReportLoop(): a router's question wants a fresh report
+    asio::steady_timer m_ReportTimer;             // of ReportLoop(); cancelled when a router's question needs a fresh report
     PlaceAnswers       m_Places;                  //
     StartPlan          m_Plan;                    //
     std::string        m_Model;                   //
-    ServerReport       m_Report;                  // last one
-    TimePoint          m_ReportAskedAt{};         // when it was asked for
-    bool               m_Reachable       = false; // reports come: fewer than kMissedReportsMax in a row were missed
-    unsigned           m_MissedReports   = 0;     // reports in a row without an answer
-    bool               m_StartInProgress = false; // pieces are being checked for a start, or it was ordered and isn't done
-    bool               m_Draining        = false; // says something only with m_StartInProgress: routers are told to send nothing new
-    uint64_t           m_OrderedVersion  = 0;     // version of that start
-    TimePoint          m_OrderedAt{};             // when the order was given; default: not yet
+    ServerReport       m_Report;                  // last report of the server
+    TimePoint          m_ReportAskedAt{};         // when m_Report was requested
+    bool               m_Reachable       = false; // fewer than kMissedReportsMax reports in a row were missed
+    unsigned           m_MissedReports   = 0;     // requests for a report in a row without a usable answer
+    bool               m_StartInProgress = false; // pieces are being checked for a start, or it was ordered and hasn't finished
+    bool               m_Draining        = false; // routers are asked to send no new requests; valid only with m_StartInProgress
+    uint64_t           m_OrderedVersion  = 0;     // version of the start in progress
+    TimePoint          m_OrderedAt{};             // when the order was sent; default: not yet
 };
 
 } // namespace aldervale
--- a/tests/test_model_knowledge.cpp
+++ b/tests/test_model_knowledge.cpp
@@ -1,4 +1,4 @@
-// What an agent knows of its server's model: whose word counts, when a version was named, and when the whole table is read.
+// Tests of ModelKnowledge: which sender's updates apply, which time of declaration a version gets, and when the whole table is read.
 #include "support.h"
 #include "version/model_knowledge.h"
 
@@ -14,7 +14,7 @@
     return Endpoint{asio::ip::make_address("10.0.0." + std::to_string(last)), 8000};
 }
 
-// What a router with declarations of that version tells; the origin is At(declared).
+// Update of a router whose declarations have version `declared`; the origin is At(declared).
 ModelNaming RouterUpdate(uint64_t declared, uint64_t version, TimePoint named_at = {})
 {
     ModelNaming n;
@@ -50,18 +50,18 @@
 
 } // namespace
 
-// Agents read the operators' table whole at their start, and again when a fetch took over 8 s and there were newer declarations. After a loss of
-// all power, or with the origin away, all 15 to 30 agents of a region did so at once: 1.1 MB each over a link of 3 MB/s, 5 to 11 s in which routers'
-// own reads of new declarations waited behind them. What an agent needs of it is some 60 bytes, and every router tells them each second.
+// Guards against agents that all read the whole table of declarations at once. They did so at start, and again when a fetch took over 8 s and there
+// were newer declarations. After a power loss, or with the origin unreachable, 15 to 30 agents of a region each read 1.1 MB over a link of 3 MB/s,
+// and routers' own reads of new declarations waited for 5 to 11 s. An agent needs about 60 bytes of it, which every router sends each second.
 BOOST_AUTO_TEST_CASE(agents_that_get_router_updates_never_read_the_whole_table)
 {
     for (int box = 1; box <= 30; box++)
     {
         ModelKnowledge k("books", "10.0.9." + std::to_string(box) + ":7000", kStart);
         BOOST_TEST(!k.NeedsFullRead(kStart));
-        BOOST_TEST(!k.NeedsFullRead(kStart + seconds(4))); // routers start, too, and have to learn it themselves
+        BOOST_TEST(!k.NeedsFullRead(kStart + seconds(4))); // routers are starting as well and have no declarations yet
         k.OnRouterUpdate(RouterUpdate(7, 1), kStart + seconds(4));
-        for (int s = 4; s < 600; s++) // nobody tells any more, or a fetch gets nothing from an origin that is away
+        for (int s = 4; s < 600; s++) // no further updates, or a fetch that gets nothing from an unreachable origin
             BOOST_TEST(!k.NeedsFullRead(kStart + seconds(s)));
     }
 }
@@ -82,7 +82,7 @@
 {
     ModelKnowledge k = NewKnowledge();
     k.OnRouterUpdate(RouterUpdate(8, 1), kStart);
-    BOOST_TEST(!k.OnRouterUpdate(RouterUpdate(7, 1), kStart)); // a router that is late
+    BOOST_TEST(!k.OnRouterUpdate(RouterUpdate(7, 1), kStart)); // a router that lags behind
     BOOST_TEST((k.Origin()->m_Address == At(8)));
     ModelNaming same = RouterUpdate(8, 1);
     same.m_Origin    = At(99);
@@ -100,13 +100,13 @@
     k.OnRouterUpdate(first, kStart);
     first.m_Declared = 9;
     BOOST_TEST(!k.OnRouterUpdate(first, kStart));
-    BOOST_TEST(k.DeclarationsVersion() == 9u); // but who has 8 is older now
+    BOOST_TEST(k.DeclarationsVersion() == 9u); // a sender with declarations 8 is older now
     BOOST_TEST(!k.OnRouterUpdate(RouterUpdate(8, 1), kStart));
     BOOST_TEST((k.Origin()->m_Address == At(7)));
     first.m_Declared = 10;
     first.m_Origin.reset();
     BOOST_TEST(!k.OnRouterUpdate(first, kStart));
-    BOOST_TEST((k.Origin()->m_Address == At(7))); // one that went away may still answer
+    BOOST_TEST((k.Origin()->m_Address == At(7))); // an origin that was removed may still answer
 }
 
 BOOST_AUTO_TEST_CASE(updates_for_other_services_are_ignored)
@@ -117,11 +117,11 @@
     BOOST_TEST(!k.OnRouterUpdate(other, kStart));
     BOOST_TEST(k.Model().empty());
     BOOST_TEST(k.Newest().m_Version == 0u);
-    BOOST_TEST(k.OnRouterUpdate(RouterUpdate(7, 1), kStart)); // of the own service, with lower declarations than that one
+    BOOST_TEST(k.OnRouterUpdate(RouterUpdate(7, 1), kStart)); // for the agent's service, with older declarations than the other update
     BOOST_TEST(k.Model() == "m");
 }
 
-// Whatever routers with any declarations say in any order: the one with the newest is believed, and knowledge never goes back.
+// For updates with any declarations in any order: the newest declarations apply, and their version never decreases.
 BOOST_AUTO_TEST_CASE(the_origin_is_always_that_of_the_newest_declarations_received)
 {
     ALDERVALE_PROPERTY("newest teller wins",
@@ -189,7 +189,7 @@
         BOOST_TEST((now - since >= last));
         BOOST_TEST((now - since <= kFullReadWaitMax + milliseconds(10)));
         last = now - since;
-        if (i > 0) // none at all at first: boxes start before anything is declared
+        if (i > 0) // the first read finds no declarations: boxes start before anything is declared
             k.OnDeclarations(Declarations(7, "loans"));
         k.OnFullRead(now);
         BOOST_TEST(!k.NeedsFullRead(now));
@@ -207,28 +207,28 @@
     BOOST_TEST(k.Newest().m_Version == 3u);
     BOOST_TEST((k.Newest().m_At == TimePoint{}));
     k.OnVersionRowsRead();
-    k.OnRow("m", 3, kStart + seconds(6)); // again, in the next read: it is no news
+    k.OnRow("m", 3, kStart + seconds(6)); // repeated by the next read: not a new version
     BOOST_TEST((k.Newest().m_At == TimePoint{}));
     k.OnRow("m", 4, kStart + seconds(12));
     BOOST_TEST(k.Newest().m_Version == 4u);
     BOOST_TEST((k.Newest().m_At == kStart + seconds(12)));
 }
 
-// The few rows are read while no router has told the model yet: which of them tell of the own model comes out only later.
+// The rows are read before any router has sent the model's name, so which row belongs to the agent's model is known only later.
 BOOST_AUTO_TEST_CASE(times_of_declaration_are_right_when_the_model_becomes_known_after_the_first_read)
 {
     ModelKnowledge k = NewKnowledge();
     k.OnRow("m", 3, kStart);
     k.OnRow("n", 8, kStart);
     k.OnVersionRowsRead();
-    BOOST_TEST(k.Newest().m_Version == 0u);                    // of no model yet
-    k.OnRouterUpdate(RouterUpdate(7, 3), kStart + seconds(1)); // by a router that doesn't know the time
+    BOOST_TEST(k.Newest().m_Version == 0u);                    // the model is not known yet
+    k.OnRouterUpdate(RouterUpdate(7, 3), kStart + seconds(1)); // by a router that doesn't have the time
     BOOST_TEST(k.Newest().m_Version == 3u);
-    BOOST_TEST((k.Newest().m_At == TimePoint{}));              // the first read told it
-    k.OnRouterUpdate(RouterUpdate(7, 4), kStart + seconds(2)); // not in the first read: named after it
+    BOOST_TEST((k.Newest().m_At == TimePoint{}));              // it was in the first read
+    k.OnRouterUpdate(RouterUpdate(7, 4), kStart + seconds(2)); // not in the first read: declared after it
     BOOST_TEST((k.Newest().m_At == kStart + seconds(2)));
 
-    ModelKnowledge between = NewKnowledge(); // version 4 is named between two reads, and only then the model is known
+    ModelKnowledge between = NewKnowledge(); // version 4 is declared between two reads, and the model becomes known after that
     between.OnRow("m", 3, kStart);
     between.OnVersionRowsRead();
     between.OnRow("m", 4, kStart + seconds(6));
@@ -248,12 +248,12 @@
     BOOST_TEST((untimed.Newest().m_At == TimePoint{}));
     untimed.OnRouterUpdate(RouterUpdate(7, 4, kStart - seconds(2)), kStart + seconds(1));
     BOOST_TEST((untimed.Newest().m_At == kStart - seconds(2)));
-    ModelKnowledge timed = NewKnowledge(); // the own read was first and didn't say when
+    ModelKnowledge timed = NewKnowledge(); // the agent's own read came first and had no time
     timed.OnRow("m", 3, kStart);
     timed.OnVersionRowsRead();
     timed.OnRouterUpdate(RouterUpdate(7, 3, kStart - seconds(2)), kStart + seconds(1));
     BOOST_TEST((timed.Newest().m_At == kStart - seconds(2)));
-    timed.OnRouterUpdate(RouterUpdate(7, 3, kStart - seconds(1)), kStart + seconds(1)); // others reckon a little differently
+    timed.OnRouterUpdate(RouterUpdate(7, 3, kStart - seconds(1)), kStart + seconds(1)); // another router's estimate differs slightly
     BOOST_TEST((timed.Newest().m_At == kStart - seconds(2)));
 }
 
@@ -261,7 +261,7 @@
 {
     ModelKnowledge k = NewKnowledge();
     k.OnRouterUpdate(RouterUpdate(8, 5, kStart), kStart);
-    k.OnRouterUpdate(RouterUpdate(7, 6, kStart), kStart); // older declarations, but the newest version of weights
+    k.OnRouterUpdate(RouterUpdate(7, 6, kStart), kStart); // older declarations, but a newer version of the weights
     BOOST_TEST(k.Newest().m_Version == 6u);
     k.OnVersionRowsRead();
     k.OnRow("m", 4, kStart);
@@ -269,7 +269,7 @@
     k.OnRouterUpdate(RouterUpdate(9, 5, kStart), kStart);
     BOOST_TEST(k.Newest().m_Version == 6u);
     ModelNaming other = RouterUpdate(10, 9, kStart);
-    other.m_Model     = "n"; // a model once known stays
+    other.m_Model     = "n"; // the model's name doesn't change once set
     k.OnRouterUpdate(other, kStart);
     BOOST_TEST(k.Model() == "m");
     BOOST_TEST(k.Newest().m_Version == 6u);
--- a/tests/test_place_channel.cpp
+++ b/tests/test_place_channel.cpp
@@ -1,4 +1,4 @@
-// Routers ask boxes for a place over real datagrams on loopback: answers, silence, many questions at once.
+// Tests of routers that ask boxes for a place (capacity for one more concurrent request) over UDP on loopback.
 #include "connection/place_channel.h"
 #include "support_io.h"
 #include "version/place_answers.h"
@@ -31,10 +31,10 @@
     }
 
     LoadPublisher m_Publisher; //
-    LoadReport    m_Load;      // that the own server's report says
+    LoadReport    m_Load;      // what the server's report contains
     int           m_ReportRequests = 0;
     PlaceAnswers  m_Answers; //
-    bool          m_Reports; // false: its server doesn't answer
+    bool          m_Reports; // false: the server doesn't answer
 };
 
 struct TestRouter
@@ -49,7 +49,7 @@
     PlaceChannel m_Places;   //
 };
 
-// What `work` results in; gives up after a time that only a hang reaches.
+// Runs `work` and returns its result; gives up after a time that only a hang reaches.
 template <class T> T Finish(asio::io_context& ioc, std::function<awaitable<T>()> work)
 {
     std::optional<T> out;
@@ -62,19 +62,18 @@
     return *out;
 }
 
-// The answers to one question.
+// Asks once and returns the answers.
 std::vector<PlaceAnswer> Ask(asio::io_context& ioc, TestRouter& router, const std::vector<Endpoint>& boxes)
 {
     return Finish<std::vector<PlaceAnswer>>(ioc, [&] { return router.m_Places.Ask(boxes); });
 }
 
-// What comes of a claim.
 ClaimOutcome Claim(asio::io_context& ioc, TestRouter& router, const std::vector<Endpoint>& boxes, const PlaceWanted& wanted)
 {
     return Finish<ClaimOutcome>(ioc, [&] { return router.m_Places.Claim(boxes, wanted); });
 }
 
-// Asks until somebody answers within the channel's limit, which a busy machine may miss; gives up after a time that only a hang reaches.
+// Asks until a box answers within the channel's timeout, which a busy machine may miss; gives up after a time that only a hang reaches.
 std::vector<PlaceAnswer> AskUntilAnswered(asio::io_context& ioc, TestRouter& router, const std::vector<Endpoint>& boxes)
 {
     const TimePoint          end = Now() + seconds(60);
@@ -103,7 +102,7 @@
     router.m_Places.Take(On(1, port), 100'000);
     uint32_t        promised = 0;
     const TimePoint end      = Now() + seconds(60);
-    while (promised == 0 && Now() < end) // each place lapses soon: the box may be asked too late on a busy machine
+    while (promised == 0 && Now() < end) // a reservation expires soon: on a busy machine the question may come too late
     {
         router.m_Places.Take(On(1, port), 100'000);
         answers  = Ask(ioc, router, {On(1, port)});
@@ -128,13 +127,13 @@
     BOOST_TEST(got.m_Granted->to_string() == "127.9.0.2");
     const PlaceWanted at_once = {12, Duration::zero(), 50};
     ClaimOutcome      denied;
-    for (int i = 0; i < 1000 && !denied.m_Heard; i++) // a busy machine may miss the time of an answer
+    for (int i = 0; i < 1000 && !denied.m_Heard; i++) // on a busy machine the answer may come too late
         denied = Claim(ioc, router, {On(1, port)}, at_once);
     BOOST_TEST(denied.m_Heard);
     BOOST_TEST(!denied.m_Granted.has_value());
 }
 
-// An agent of before, or a box that is gone: its silence isn't taken for "there is none".
+// An older agent or a box that is gone doesn't answer. The router must not take this for a denial.
 BOOST_AUTO_TEST_CASE(a_claim_without_an_answer_differs_from_a_denied_one)
 {
     asio::io_context   ioc;
@@ -176,7 +175,8 @@
     const uint16_t   port = FreeEndpoint().m_Port;
     TestBox          dead_server(ioc, On(2, port), false);
     TestRouter       router(ioc, On(10, port));
-    BOOST_TEST(Ask(ioc, router, {On(2, port), On(3, port)}).empty()); // one whose server is silent, one where nobody listens
+    BOOST_TEST(
+        Ask(ioc, router, {On(2, port), On(3, port)}).empty()); // at the first box the server doesn't answer, at the second one no process listens
     dead_server.m_Reports = true;
     dead_server.m_Answers.OnReport(dead_server.m_Load, Now()); // too late for the question that waited
     ioc.run_for(milliseconds(5));
@@ -209,7 +209,7 @@
     const TimePoint end = Now() + seconds(60);
     while (done < 200 && Now() < end)
         ioc.run_for(milliseconds(5));
-    BOOST_TEST(done == 200); // some in time, some not: 600 datagrams take a busy machine longer than one answer may take
+    BOOST_TEST(done == 200); // with or without answers: 600 datagrams take a busy machine longer than the timeout of one answer
     BOOST_TEST(!AskUntilAnswered(ioc, one, {On(1, port), On(2, port)}).empty());
     BOOST_TEST(!AskUntilAnswered(ioc, two, {On(1, port), On(2, port)}).empty());
 }
--- a/tests/test_routes.cpp
+++ b/tests/test_routes.cpp
@@ -1,4 +1,4 @@
-// Matching requests against declared routes, and cutting event streams into events.
+// Tests of matching requests against declared routes, and of splitting event streams into events.
 #include "request/event_splitter.h"
 #include "support.h"
 #include "version/route_table.h"
--- a/tests/test_start_plan.cpp
+++ b/tests/test_start_plan.cpp
@@ -1,4 +1,4 @@
-// What an agent does about its server's weights: which version to fetch, which to start, and when its turn is.
+// Tests of StartPlan: which version an agent fetches, which one it orders its server to start, and when.
 #include "support.h"
 #include "version/start_plan.h"
 
@@ -69,7 +69,7 @@
     in.m_FetchComplete  = true;
     in.m_NewestComplete = 2;
     BOOST_TEST(p.NextFetch(in, kStart + seconds(4)) == 3u);
-    BOOST_TEST(p.NextStart(in, p.ScheduledStart(in)) == 2u); // meanwhile the older one serves
+    BOOST_TEST(p.NextStart(in, p.ScheduledStart(in)) == 2u); // the older version serves meanwhile
 }
 
 BOOST_AUTO_TEST_CASE(a_fetch_that_hangs_is_given_up_for_the_newer_version_before_its_deadline)
@@ -84,7 +84,8 @@
     BOOST_TEST(p.NextFetch(in, kStart + cfg.m_WeightsDeadline) == 3u);
 }
 
-// The load: version 3 is named 2 s after version 2, and the origin falls silent 0.5 s later for 6 s.
+// Version 3 is declared 2 s after version 2, and the origin stops answering 0.5 s later for 6 s. Without the fallback to version 2 no server
+// could start a request once the weights deadline of version 2 had passed.
 BOOST_AUTO_TEST_CASE(while_the_target_stalls_an_older_version_is_fetched_and_serves)
 {
     StartPlan p({});
@@ -94,20 +95,20 @@
     in.m_FetchVersion  = 2;
     in.m_NewestPartial = 2;
     TimePoint now      = kStart + seconds(2);
-    BOOST_TEST(p.NextFetch(in, now) == 3u); // pieces of the newest one come
+    BOOST_TEST(p.NextFetch(in, now) == 3u); // pieces of the newest version arrive
     in.m_FetchVersion   = 3;
     in.m_SinceLastPiece = milliseconds(500);
     BOOST_TEST(p.NextFetch(in, now) == 3u);
-    in.m_SinceLastPiece = milliseconds(1000); // and then none any more
+    in.m_SinceLastPiece = milliseconds(1000); // no more pieces arrive
     now += milliseconds(1500);
     BOOST_TEST(p.NextFetch(in, now) == 2u);
     in.m_FetchVersion   = 2;
     in.m_SinceLastPiece = milliseconds(100);
-    BOOST_TEST(p.NextFetch(in, now) == 2u); // goes on while pieces come
+    BOOST_TEST(p.NextFetch(in, now) == 2u); // the fallback continues while its pieces arrive
     in.m_SinceLastPiece = milliseconds(1000);
-    BOOST_TEST(p.NextFetch(in, now) == 3u); // neighbours have no more of it
+    BOOST_TEST(p.NextFetch(in, now) == 3u); // neighbours have no further pieces of it
     in.m_FetchVersion = 3;
-    BOOST_TEST(p.NextFetch(in, now) == 2u); // by turns
+    BOOST_TEST(p.NextFetch(in, now) == 2u); // the target and the fallback alternate while both stall
     in.m_FetchVersion   = 2;
     in.m_SinceLastPiece = milliseconds(100);
     in.m_FetchComplete  = true;
@@ -182,10 +183,10 @@
 {
     StartPlan p({});
     BOOST_TEST(p.DeclaredAges(1, kStart).empty());
-    p.OnTargetVersion(2, TimePoint{}); // before this process started
+    p.OnTargetVersion(2, TimePoint{}); // declared before this process started
     p.OnTargetVersion(3, kStart);
     const std::vector<NamedAge> want = {{2, -1}, {3, 500}};
     BOOST_TEST((p.DeclaredAges(1, kStart + milliseconds(500)) == want));
-    const std::vector<NamedAge> newest = {{3, 500}}; // told also by who holds it
+    const std::vector<NamedAge> newest = {{3, 500}}; // reported even when it is loaded already
     BOOST_TEST((p.DeclaredAges(3, kStart + milliseconds(500)) == newest));
 }
