--- a/src/version/piece_links.cpp
+++ b/src/version/piece_links.cpp
@@ -1,4 +1,4 @@
-// Links between agents. See piece_links.h.
+// Links between the agents of one service's boxes. See piece_links.h.
 #include "version/piece_links.h"
 #include "common/hash.h"
 #include "common/log.h"
@@ -10,10 +10,10 @@
 {
 
 constexpr auto   kNoThrow                = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kNeighboursSameCentre   = 8;                 // dialled in the own data centre
-constexpr size_t kNeighboursOtherCentres = 4;                 // and elsewhere
+constexpr size_t kNeighboursSameCentre   = 8;                 // dialled in the same data centre
+constexpr size_t kNeighboursOtherCentres = 4;                 // dialled in other data centres
 constexpr auto   kDialInterval           = milliseconds(250); //
-constexpr auto   kDialTimeout            = milliseconds(600); // for a connection
+constexpr auto   kDialTimeout            = milliseconds(600); // for opening a connection
 
 } // namespace
 
--- a/src/version/piece_transfer.cpp
+++ b/src/version/piece_transfer.cpp
@@ -1,4 +1,4 @@
-// What is here of each version, and which boxes there are. See piece_transfer.h; its parts are listed in piece_transfer_internal.h.
+// Which pieces of each version are here, and which boxes there are. See piece_transfer.h; piece_transfer_internal.h lists the other source files.
 #include "version/piece_transfer_internal.h"
 
 namespace aldervale
--- a/src/version/piece_transfer.h
+++ b/src/version/piece_transfer.h
@@ -1,12 +1,14 @@
-// aldervale: fetches one version's pieces to one box, and hands them to neighbours
+// aldervale: fetches the pieces of one version of a model's weights to a box, and uploads them to neighbours
 //
-// The shell around Exchange for weights that come as numbered pieces with a digest each. The list of digests comes from a neighbour that
-// has it, or from the origin, which few boxes ask. Each piece comes from the origin once, crosses into each data centre once, and spreads
-// inside it. Pieces stay in memory while their version or the one before is in use here. Touched on one thread.
+// A version's weights come as numbered pieces (parts of equal size) with a SHA-256 digest each. A neighbour is an agent of the same service on
+// another box. PieceTransfer connects Exchange, which decides what to fetch from where, to the links and to the origin (the server that weights come
+// from first). The list of digests comes from a neighbour that has it, or from the origin, which only few boxes ask. Each piece is read from the
+// origin once, sent into each data centre once, and distributed inside it. Pieces stay in memory while their version or the one before is in use on
+// this box. Used on one thread only.
 //
 // Usage:
 //   PieceTransfer t(ioc, origin, server, self, link_bytes_s);
-//   t.SetModel("model"); t.StartFetch(7);  // gives up another version that is under way
+//   t.SetModel("model"); t.StartFetch(7);      // gives up the fetch of another version
 //   if (t.IsComplete()) ... t.Find(7)->m_Pieces[n]
 
 #pragma once
@@ -22,62 +24,62 @@
 
 using PieceBytes = std::shared_ptr<const std::vector<uint8_t>>;
 
-struct PieceSet // what this box has of one version
+struct PieceSet // the pieces of one version that are on this box
 {
-    std::shared_ptr<const PieceList> m_List;   // null until known
-    std::vector<PieceBytes>          m_Pieces; // null: not here
-    uint32_t                         m_Count = 0;
+    std::shared_ptr<const PieceList> m_List;      // list of digests; null until it is known
+    std::vector<PieceBytes>          m_Pieces;    // by number; null: not here
+    uint32_t                         m_Count = 0; // pieces that are here
     bool                             IsComplete() const { return m_List && m_Count == m_Pieces.size(); }
 };
 
-constexpr unsigned kPieceSlotsFirst = 3; // pieces asked of neighbours at once when a fetch begins: the link may be narrower than declared
-constexpr unsigned kPieceSlotsMax   = 5; // and at most
+constexpr unsigned kPieceSlotsFirst = 3; // requests for pieces to neighbours at a time when a fetch begins: the link may be narrower than declared
+constexpr unsigned kPieceSlotsMax   = 5; // upper bound of such requests at a time
 
-// Pieces asked at once after one that took so long. Live requests queue behind all that are on the way to this box, so a link that turns
-// out to be narrow is left with half as many.
+// Returns the number of pieces to request at a time, given how long the last one took. Traffic of live requests queues behind all pieces that are in
+// flight to this box, so a link that proves narrow gets half as many.
 unsigned NextPieceSlots(unsigned slots, Duration took);
 
-// How much slower a box's link is than declared, by how long pieces take on it. Live requests wait there, too.
+// Estimates how much slower a box's link is than declared, from the time that pieces take on it. Traffic of live requests waits on the same link.
 class LinkSlowdown
 {
 public:
-    void   OnPiece(Duration took, Duration expected, TimePoint now); // expected: on the declared link, behind the other pieces asked for
-    double Value(TimePoint now) const;                               // 1: as declared, or nothing was seen for a while
+    void   OnPiece(Duration took, Duration expected, TimePoint now); // `expected`: on the declared link, behind the other requested pieces
+    double Value(TimePoint now) const;                               // 1: as fast as declared, or no recent piece
 
 private:
     double    m_Mean = 1; // moving mean of took / expected
-    TimePoint m_At{};     // of the last piece; default: none yet
+    TimePoint m_At{};     // when the last piece arrived; default: none yet
 };
 
 class PieceTransfer
 {
 public:
-    // `link_bytes_s`: of this box, each way; live answers leave over the same link. 0: no limit.
+    // `link_bytes_s`: bandwidth of this box's link in each direction, bytes/s; answers to callers leave over the same link. 0: no limit.
     PieceTransfer(asio::io_context& ioc, PieceOrigin& origin, ModelServer& server, ProcessName self, double link_bytes_s);
 
     Status   Listen(const Endpoint& at) { return m_Links.Listen(at); }
-    void     SetModel(const std::string& model); // whose pieces are offered and fetched; empty: not known yet
+    void     SetModel(const std::string& model); // model whose pieces are offered and fetched; empty: not known yet
     void     SetOrigin(const WeightOrigin& origin) { m_DeclaredOrigin = origin; }
     void     SetPeers(std::vector<PeerBox> peers);
-    void     SetOnVersionSeen(std::function<void(uint64_t version)> fn) { m_OnVersionSeen = std::move(fn); } // a neighbour knows of this version
-    void     StartFetch(uint64_t version);                                     // gives up another version that is under way
-    void     SetLoadedVersion(uint64_t version) { m_LoadedVersion = version; } // that the own server holds: its staged pieces are offered too
-    uint64_t Version() const { return m_Version; }                             // under way, or fetched last; 0: none
-    bool     IsComplete() const;
-    Duration TimeSinceLastPiece() const;                                     // since a piece of what is under way came; zero: nothing is
-    uint64_t NewestPartial(uint64_t before) const;                           // newest older one of which some pieces are here, not all; 0: none
-    uint64_t NewestComplete() const;                                         // 0: none
-    bool     IsFetching() const;                                             // something is being fetched
-    size_t   Boxes() const { return BoxNames(false).size(); }                // of the service, this one included
-    size_t   StartRank(uint64_t version) const;                              // of this box in an order by hash that all boxes share
-    const PieceSet* Find(uint64_t version) const;                            // null: nothing
-    double          Slowdown() const { return m_LinkSlowdown.Value(Now()); } // of this box's link: over 1 is slower than declared
+    void     SetOnVersionSeen(std::function<void(uint64_t version)> fn) { m_OnVersionSeen = std::move(fn); } // a neighbour has this newer version
+    void     StartFetch(uint64_t version);                                                                   // gives up the fetch of another version
+    void     SetLoadedVersion(uint64_t version) { m_LoadedVersion = version; } // loaded by the local server, whose staged pieces are offered too
+    uint64_t Version() const { return m_Version; }                             // being fetched, or fetched last; 0: none
+    bool     IsComplete() const;                                               // all pieces of Version() are here
+    Duration TimeSinceLastPiece() const;                                       // of the current fetch; zero: nothing is being fetched
+    uint64_t NewestPartial(uint64_t before) const; // newest version older than `before` with some pieces here, but not all; 0: none
+    uint64_t NewestComplete() const;               // newest version with all pieces here; 0: none
+    bool     IsFetching() const;
+    size_t   Boxes() const { return BoxNames(false).size(); }                // boxes of the service, this one included
+    size_t   StartRank(uint64_t version) const;                              // position of this box in an order by hash that all boxes compute alike
+    const PieceSet* Find(uint64_t version) const;                            // null: no pieces and no list of this version
+    double          Slowdown() const { return m_LinkSlowdown.Value(Now()); } // of this box's link; above 1: slower than declared
     uint64_t        BytesFromOrigin() const { return m_BytesOrigin; }
     uint64_t        BytesFromPeers() const { return m_BytesPeers; }
 
 private:
-    struct Job;   // one StartFetch() until it is whole or given up
-    struct Upload // asked for, not sent yet
+    struct Job;   // one fetch, from StartFetch() until the version is complete or given up
+    struct Upload // a piece that a neighbour requested and that wasn't sent yet
     {
         LinkPtr   m_Link;         //
         uint64_t  m_Exchange = 0; //
@@ -85,10 +87,10 @@
         uint32_t  m_Piece    = 0; //
         TimePoint m_AskedAt{};    //
     };
-    struct PeerAnswer // to one request for a piece
+    struct PeerAnswer // a neighbour's answer to one request for a piece
     {
         ChunkOutcome m_Outcome = ChunkOutcome_Failed; //
-        Duration     m_Waited{};                      // of a piece: in the neighbour's queue of uploads
+        Duration     m_Waited{};                      // time that the piece waited in the neighbour's upload queue
     };
 
     std::vector<std::string> BoxNames(bool own_data_centre) const;
@@ -102,26 +104,26 @@
     void            Pump(std::shared_ptr<Job> job);
 
     // One piece (piece_transfer_fetch.cpp)
-    awaitable<void>         FetchPiece(std::shared_ptr<Job> job, Fetch f);
-    awaitable<PeerAnswer>   FromPeer(std::shared_ptr<Job> job, Fetch f);
-    PeerAnswer              TakeAnswer(Job& job, const Fetch& f, const FrameBuf& answer);
-    void                    UpdateFromAnswer(Job& job, const std::string& peer, const PeerAnswer& answer, Duration took); // of the peer and the link
+    awaitable<void>       FetchPiece(std::shared_ptr<Job> job, Fetch f);
+    awaitable<PeerAnswer> FromPeer(std::shared_ptr<Job> job, Fetch f);
+    PeerAnswer            TakeAnswer(Job& job, const Fetch& f, const FrameBuf& answer);
+    void UpdateFromAnswer(Job& job, const std::string& peer, const PeerAnswer& answer, Duration took); // for the estimates of the peer and the link
     awaitable<ChunkOutcome> FromOrigin(std::shared_ptr<Job> job, uint32_t n);
     ChunkOutcome            StorePiece(Job& job, uint32_t n, std::vector<uint8_t> bytes, std::string_view from);
     void                    AdaptSlots(Job& job, Duration took);
 
     // The list of digests (piece_transfer_list.cpp)
-    awaitable<bool> ObtainList(std::shared_ptr<Job> job); // true: it is here
+    awaitable<bool> ObtainList(std::shared_ptr<Job> job); // true: the list is here
     awaitable<bool> ListFromPeers(std::shared_ptr<Job> job);
     awaitable<bool> ListFromOrigin(std::shared_ptr<Job> job);
-    void            TakeList(uint64_t version, PieceList list); // a usable one
+    void            TakeList(uint64_t version, PieceList list); // `list` has passed UsableList()
     void            OnListGet(const LinkPtr& link, uint64_t exchange, const wire::ManifestGet& get);
 
-    // Who has what (piece_transfer_news.cpp)
+    // Which box has which pieces (piece_transfer_news.cpp)
     awaitable<void> AnnounceLoop();
     void            AnnouncePieces(Job& job);
     void            SendInventory(const LinkPtr& link);
-    void            AnnounceList(uint64_t version); // that this box has the list of digests
+    void            AnnounceList(uint64_t version); // announces that this box has the list of digests
     void            RequestInventory(uint64_t version, const std::string& peer);
     void            OnUp(const std::string& peer);
     void            OnDown(const std::string& peer);
@@ -129,7 +131,7 @@
     void            OnHave(const std::string& peer, const wire::HaveUpdate& have);
 
     // Pieces for neighbours (piece_transfer_uploads.cpp)
-    awaitable<void>       UploadLoop(); // at the pace that live answers leave room for
+    awaitable<void>       UploadLoop(); // at a rate that leaves room for answers to callers
     awaitable<PieceBytes> PieceToSend(const Upload& u);
     awaitable<void>       SendPiece(const Upload& u, PieceBytes bytes);
     awaitable<void>       AwaitSent(LinkPtr link);
@@ -141,21 +143,21 @@
     ProcessName                   m_Self;             // m_Name is the listening address of the links
     PieceLinks                    m_Links;            //
     std::vector<PeerBox>          m_Peers;            //
-    TimePoint                     m_PeersChangedAt{}; // when the set of peers changed last
-    std::optional<WeightOrigin>   m_DeclaredOrigin;   // as declared
+    TimePoint                     m_PeersChangedAt{}; // when the set of peers last changed
+    std::optional<WeightOrigin>   m_DeclaredOrigin;   // nullopt: not known
     std::string                   m_Model;            //
     uint64_t                      m_Version       = 0;
     uint64_t                      m_LoadedVersion = 0;
     std::map<uint64_t, PieceSet>  m_Sets;               // by version; at most kVersionsKept
-    std::shared_ptr<Job>          m_Job;                // null: nothing under way
+    std::shared_ptr<Job>          m_Job;                // the current or last fetch; null: none yet
     std::deque<Upload>            m_Uploads;            // at most kUploadsMax
-    unsigned                      m_Sending = 0;        // pieces that their links haven't taken
-    asio::steady_timer            m_UploadWake;         // cancelled when m_Uploads gets an entry
-    TokenBucket                   m_UploadBucket;       // bytes
-    const double                  m_LinkBytesPerSecond; // of this box, a second, as declared; 0: not known
+    unsigned                      m_Sending = 0;        // uploaded pieces that are still queued on their links
+    asio::steady_timer            m_UploadWake;         // cancelled when the upload loop has to look again
+    TokenBucket                   m_UploadBucket;       // limits uploads, bytes
+    const double                  m_LinkBytesPerSecond; // declared bandwidth of this box's link; 0: not known
     LinkSlowdown                  m_LinkSlowdown;       //
     std::function<void(uint64_t)> m_OnVersionSeen;      // may be empty
-    uint64_t                      m_SuspectList = 0;    // version whose list of digests is read from the origin again, not from neighbours
+    uint64_t                      m_SuspectList = 0; // version whose list of digests must be read from the origin again, not from neighbours; 0: none
     uint64_t                      m_BytesOrigin = 0;
     uint64_t                      m_BytesPeers  = 0;
 };
--- a/src/version/piece_transfer_fetch.cpp
+++ b/src/version/piece_transfer_fetch.cpp
@@ -1,4 +1,4 @@
-// Fetching one piece, from a neighbour or the origin. See piece_transfer.h.
+// Fetches one piece, from a neighbour or the origin. See piece_transfer.h.
 #include "common/log.h"
 #include "version/piece_transfer_internal.h"
 
@@ -9,9 +9,9 @@
 {
 
 constexpr auto     kOriginTimeout    = milliseconds(2000); // for one piece from the origin
-constexpr auto     kPieceOverhead    = milliseconds(60);   // of a piece beside its time on the link: the other box's, and both ways
-constexpr unsigned kCorruptPiecesMax = 4;                  // spoilt pieces from the origin after which its list of digests is doubted
-constexpr auto     kSlowdownMaxAge   = seconds(2);         // after the last piece: what queued on the link is gone by then
+constexpr auto     kPieceOverhead    = milliseconds(60);   // of a piece beside its time on the link: work of the other box and the round trip
+constexpr unsigned kCorruptPiecesMax = 4;                  // corrupt pieces from the origin after which its list of digests is read again
+constexpr auto     kSlowdownMaxAge   = seconds(2);         // after the last piece: traffic that queued on the link has been sent by then
 
 } // namespace
 
@@ -37,9 +37,9 @@
 {
     const bool good      = answer.m_Outcome == ChunkOutcome_Good;
     const bool failed    = answer.m_Outcome == ChunkOutcome_Failed;
-    const bool timed_out = failed && took >= kPieceTimeout; // a link that closed at once says nothing of this box's
+    const bool timed_out = failed && took >= kPieceTimeout; // a link that closed at once gives no information about this box's link
     if (good || timed_out)
-        AdaptSlots(job, took - std::min(took, answer.m_Waited)); // what it waited over there says nothing of the link here
+        AdaptSlots(job, took - std::min(took, answer.m_Waited)); // the wait in the neighbour's queue is not time on this box's link
     if (good)
         job.m_Exchange->OnWaited(peer, answer.m_Waited, Now());
     if (failed)
@@ -48,9 +48,9 @@
 
 unsigned NextPieceSlots(unsigned slots, Duration took)
 {
-    constexpr auto kSlow      = milliseconds(400); // longer: pieces queue on this box's link
-    constexpr auto kQuick     = milliseconds(110); // less, and kQuickEach more for each slot: there is room for another
-    constexpr auto kQuickEach = milliseconds(14);  // half of a piece's time on a link of the usual width
+    constexpr auto kSlow      = milliseconds(400); // if a piece takes longer, pieces queue on this box's link
+    constexpr auto kQuick     = milliseconds(110); // if a piece takes less (plus kQuickEach per slot), the link has room for another one
+    constexpr auto kQuickEach = milliseconds(14);  // half of a piece's transmission time on a link of typical bandwidth
     if (took > kSlow)
         return std::max(1u, slots / 2);
     return took < kQuick + kQuickEach * static_cast<int>(slots) ? std::min(kPieceSlotsMax, slots + 1) : slots;
@@ -58,16 +58,16 @@
 
 void LinkSlowdown::OnPiece(Duration took, Duration expected, TimePoint now)
 {
-    constexpr double kStep = 0.3; // weight of the newest piece
+    constexpr double kStep = 0.3; // weight of the newest piece in the moving mean
     if (now - m_At >= kSlowdownMaxAge)
-        m_Mean = 1; // another fetch
+        m_Mean = 1; // this piece belongs to another fetch
     m_Mean += kStep * (ToSeconds(took) / ToSeconds(expected) - m_Mean);
     m_At = now;
 }
 
 double LinkSlowdown::Value(TimePoint now) const
 {
-    constexpr double kClear = 2; // below this it is chance
+    constexpr double kClear = 2; // below this value the difference may be random
     const bool       seen   = m_At != TimePoint{} && now - m_At < kSlowdownMaxAge;
     return seen && m_Mean > kClear ? m_Mean : 1;
 }
@@ -145,12 +145,12 @@
     job->m_CorruptPieces += outcome == ChunkOutcome_Corrupt ? 1 : 0;
     if (job->m_CorruptPieces < kCorruptPiecesMax)
         co_return outcome;
-    // Either the origin spoils much, or the list is wrong: a fresh list decides. What is here is checked against it when it is used.
+    // Either the origin sends many corrupt pieces, or the list is wrong. The list is read again; staged pieces are checked against the new one.
     LogEvent(Event_ManifestRefused, {{"version", job->m_Version}, {"what", "many pieces fail their digests; reading the list again"}});
     const uint64_t version = job->m_Version;
     job->m_Finished        = true;
     m_Sets.erase(version);
-    m_SuspectList = version; // neighbours may have taken the spoilt list from here
+    m_SuspectList = version; // neighbours may have got the wrong list from this box
     StartFetch(version);
     co_return outcome;
 }
--- a/src/version/piece_transfer_internal.h
+++ b/src/version/piece_transfer_internal.h
@@ -1,13 +1,13 @@
-// aldervale: what the parts of PieceTransfer share among themselves
+// aldervale: declarations shared by the source files of PieceTransfer
 //
-// For piece_transfer*.cpp and piece_wire.cpp only; others use piece_transfer.h. The parts, one job each:
-//   piece_transfer.cpp          what is here, and which boxes there are
-//   piece_transfer_job.cpp      one job: from StartFetch() to whole or given up
+// For piece_transfer*.cpp and piece_wire.cpp only; other files use piece_transfer.h. The source files:
+//   piece_transfer.cpp          which pieces are here, and which boxes there are
+//   piece_transfer_job.cpp      one fetch, from StartFetch() until the version is complete or given up
 //   piece_transfer_fetch.cpp    one piece, from a neighbour or the origin
-//   piece_transfer_list.cpp     the list of digests: obtaining it, and handing it on
-//   piece_transfer_news.cpp     who has what: telling neighbours, and hearing of it
-//   piece_transfer_uploads.cpp  pieces for neighbours
-//   piece_wire.cpp              names of versions and lists of digests as they cross between boxes
+//   piece_transfer_list.cpp     the list of digests: obtaining it, and sending it to neighbours
+//   piece_transfer_news.cpp     which box has which pieces: announcements to neighbours, and from them
+//   piece_transfer_uploads.cpp  uploads of pieces to neighbours
+//   piece_wire.cpp              version names and lists of digests in messages between boxes
 
 #pragma once
 #include "version/piece_transfer.h"
@@ -15,31 +15,31 @@
 namespace aldervale
 {
 
-constexpr auto   kListRetryInterval = milliseconds(30);   // looks whether a neighbour has the list
-constexpr auto   kServerCallTimeout = milliseconds(500);  // for one call to the own server
-constexpr double kUploadShare       = 0.85;               // of the box's link: the rest is for live answers
+constexpr auto   kListRetryInterval = milliseconds(30);   // between attempts to get the list of digests
+constexpr auto   kServerCallTimeout = milliseconds(500);  // for one call to the local server
+constexpr double kUploadShare       = 0.85;               // of the link's bandwidth: the rest is for answers to callers
 constexpr auto   kPieceTimeout      = milliseconds(1200); // for one piece from a neighbour
 
-// Names of versions and lists of digests as they cross between boxes (piece_wire.cpp)
+// Version names and lists of digests in messages between boxes (piece_wire.cpp)
 std::string              VersionName(std::string_view model, uint64_t version);
-std::optional<uint64_t>  VersionOf(const flatbuffers::String* name, std::string_view model); // null: not a version of this model
-bool                     UsableList(const PieceList& list);
+std::optional<uint64_t>  VersionOf(const flatbuffers::String* name, std::string_view model); // nullopt: not a version of this model
+bool                     UsableList(const PieceList& list);                                  // true: it has digests, and all are well-formed
 std::string              ListToJson(const PieceList& list);
-std::optional<PieceList> ListFromJson(std::string_view text); // null: not a list; its digests aren't checked, see UsableList()
+std::optional<PieceList> ListFromJson(std::string_view text); // nullopt: malformed; digests aren't checked, see UsableList()
 
 struct PieceTransfer::Job
 {
     uint64_t                  m_Version = 0;                      //
     TimePoint                 m_StartedAt{};                      //
-    TimePoint                 m_LastPieceAt{};                    // of the last new piece, or m_StartedAt
-    std::unique_ptr<Exchange> m_Exchange;                         // null until the list is known
+    TimePoint                 m_LastPieceAt{};                    // when the last new piece arrived; initially m_StartedAt
+    std::unique_ptr<Exchange> m_Exchange;                         // null until the list of digests is known
     ManifestPtr               m_Manifest;                         //
-    bool                      m_Finished      = false;            // whole, or given up
-    unsigned                  m_Slots         = kPieceSlotsFirst; // pieces asked of neighbours at once
-    unsigned                  m_CorruptPieces = 0;                // pieces from the origin that failed their digest
-    std::vector<uint32_t>     m_Unannounced;                      // pieces not told to neighbours yet
+    bool                      m_Finished      = false;            // complete or given up
+    unsigned                  m_Slots         = kPieceSlotsFirst; // requests for pieces to neighbours at a time
+    unsigned                  m_CorruptPieces = 0;                // pieces from the origin that didn't match their digest
+    std::vector<uint32_t>     m_Unannounced;                      // pieces that neighbours haven't been notified of
     std::set<std::string>     m_ListHolders;                      // neighbours that have the list of digests
-    TimePoint                 m_OriginAllowedAt{};                // no piece is asked of the origin before
+    TimePoint                 m_OriginAllowedAt{};                // no piece is requested from the origin before this time
 };
 
 } // namespace aldervale
--- a/src/version/piece_transfer_job.cpp
+++ b/src/version/piece_transfer_job.cpp
@@ -1,4 +1,4 @@
-// One job: from StartFetch() until its version is whole or given up. See piece_transfer.h.
+// One fetch, from StartFetch() until its version is complete or given up. See piece_transfer.h.
 #include "common/log.h"
 #include "version/piece_transfer_internal.h"
 
@@ -8,18 +8,18 @@
 namespace
 {
 
-constexpr size_t kVersionsKept       = 2;                  // in memory: the one in use and the one under way
-constexpr auto   kPeersSettleTime    = milliseconds(900);  // an empty box begins when the set of boxes hasn't changed for this long
-constexpr auto   kPeersSettleTimeout = milliseconds(2500); // but no later than this
-constexpr auto   kLinksSettleTime    = milliseconds(250);  // for links to come up before the origin is asked for pieces
-constexpr auto   kPumpInterval       = milliseconds(200);  // looks at what to fetch next also without an event
-constexpr double kOriginShare        = 0.75;               // of the connections that the origin takes, at most for sharing out its pieces
-constexpr auto   kOriginQueueTime    = milliseconds(320);  // that a piece waits on the origin's link behind others: well under kOriginTimeout
-constexpr size_t kOriginSharersMin   = 4;                  //
+constexpr size_t kVersionsKept       = 2;                 // in memory: the version in use and the one being fetched
+constexpr auto   kPeersSettleTime    = milliseconds(900); // a box without weights starts its fetch when the set of boxes hasn't changed for this long
+constexpr auto   kPeersSettleTimeout = milliseconds(2500); // upper bound of that wait, from the start of the fetch
+constexpr auto   kLinksSettleTime    = milliseconds(250);  // for links to be established before pieces are requested from the origin
+constexpr auto   kPumpInterval       = milliseconds(200);  // between looks at what to fetch next without an event
+constexpr double kOriginShare        = 0.75;               // largest share of the origin's connections that is used for its pieces
+constexpr auto   kOriginQueueTime    = milliseconds(320);  // longest wait of a piece on the origin's link behind others: well under kOriginTimeout
+constexpr size_t kOriginSharersMin   = 4;                  // fewest boxes that read pieces from the origin at a time
 constexpr double kBytesPerMbit       = 1e6 / 8;            //
 
-// Boxes that share out the origin's pieces, one request each: enough to fill its link, few enough that a piece waits there for kOriginQueueTime,
-// and some of the connections that it takes are left to others.
+// Returns how many boxes divide the origin's pieces among themselves, with one request each: enough to fill its link, but few enough that a piece
+// waits there for at most kOriginQueueTime and that some of the connections that it accepts stay free for other uses.
 size_t OriginSharers(const std::optional<WeightOrigin>& origin, uint32_t piece_bytes)
 {
     size_t n = SIZE_MAX;
@@ -34,9 +34,9 @@
 {
     ExchangeConfig c;
     c.m_DownloadSlots = kPieceSlotsFirst;
-    c.m_OriginSlots   = 2; // one left its link half empty: a piece comes through the sharer's own link behind those of neighbours
+    c.m_OriginSlots   = 2; // with 1 the origin's link was half idle: a piece also queues on the reading box's link, behind those from neighbours
     c.m_PerPeer       = 2;
-    c.m_OriginRanks   = 64; // no cap on copies: a piece that is nowhere must be had, each further rank only steps in later
+    c.m_OriginRanks   = 64; // no limit on copies: a piece that no box has must be read; boxes of each further rank only read it later
     c.m_TakeOver      = milliseconds(900);
     c.m_BusyPause     = milliseconds(30);
     c.m_StallPause    = milliseconds(1000);
@@ -47,7 +47,7 @@
     return c;
 }
 
-// The exchange numbers chunks over shards; weights in pieces are one shard.
+// The exchange numbers chunks across shards; weights in pieces form one shard, with one chunk per piece.
 ManifestPtr ToManifest(const std::string& name, const PieceList& list)
 {
     auto          m = std::make_shared<Manifest>();
@@ -60,7 +60,7 @@
     for (const std::string& hex : list.m_Digests)
     {
         Digest d{};
-        FromHex(hex, d); // checked when the list was taken
+        FromHex(hex, d); // its format was checked by UsableList()
         shard.m_Chunks.push_back(d);
     }
     m->m_Shards.push_back(std::move(shard));
@@ -84,7 +84,7 @@
     m_Job->m_StartedAt   = Now();
     m_Job->m_LastPieceAt = m_Job->m_StartedAt;
     LogEvent(Event_VersionFetchStarted, {{"model", m_Model}, {"version", version}});
-    wire::HaveUpdateT ask; // neighbours learn of the version by it, and say what they have
+    wire::HaveUpdateT ask; // this also notifies neighbours of the version, and they answer with what they have
     ask.digest = NameOf(version);
     ask.reply  = true;
     m_Links.Broadcast(ask);
@@ -113,7 +113,7 @@
     }
 }
 
-// Pieces that lie at the own server already, from before this process started, are not fetched again.
+// Pieces that are already staged at the local server, from before this process started, are not fetched again.
 awaitable<void> PieceTransfer::TakeStaged(std::shared_ptr<Job> job)
 {
     const auto held = co_await m_Server.ListPieces(m_Model, Now() + kServerCallTimeout);
@@ -133,7 +133,7 @@
         PieceSet&    again  = m_Sets[job->m_Version];
         if (ToHex(digest) != again.m_List->m_Digests[n])
         {
-            if (n == held.value().front()) // another version lies there
+            if (n == held.value().front()) // another version is staged
                 co_return;
             continue;
         }
@@ -142,8 +142,8 @@
     }
 }
 
-// After a loss of power all boxes come back within seconds. Who fetches which piece from the origin follows from the set of boxes, so an
-// empty box waits until the set rests: otherwise each would fetch the share of those that it doesn't know yet.
+// After a power loss all boxes return within seconds. The set of boxes determines which box reads which piece from the origin, so a box without
+// weights waits until the set is stable: otherwise it would also read the shares of boxes that haven't appeared yet.
 awaitable<void> PieceTransfer::AwaitPeers(std::shared_ptr<Job> job)
 {
     const TimePoint latest = job->m_StartedAt + kPeersSettleTimeout;
@@ -165,18 +165,18 @@
     job->m_Exchange    = std::make_unique<Exchange>(job->m_Manifest, TransferConfig(m_DeclaredOrigin, set.m_List->m_PieceBytes), BoxNames(false),
                                                  m_Self.m_Name, present);
     job->m_Exchange->SetImporters(BoxNames(true));
-    // A box that holds an older version has its links, and nobody has the newer one yet.
+    // A box with an older version already has its links, and no neighbour has the newer version yet.
     const bool at_once     = m_LoadedVersion > 0 || m_Peers.empty();
     job->m_OriginAllowedAt = at_once ? Now() : Now() + kLinksSettleTime;
     for (const std::string& peer : m_Links.Up())
     {
         job->m_Exchange->OnPeerUp(peer, m_Links.SameDataCentre(peer));
-        RequestInventory(job->m_Version, peer); // updates sent before this job were not kept
+        RequestInventory(job->m_Version, peer); // updates received before this job were discarded
     }
 }
 
-// `job` is a copy: what is spawned here may end at once, and a piece that ends may put another job into m_Job, which a caller may have
-// passed. What was asked for by a job that is over is neither read nor counted for the next one.
+// `job` is passed by value: a coroutine spawned here may finish at once, and a finished piece may replace m_Job, which a caller may have passed.
+// Pieces that a finished job requested are neither read nor counted for the next job.
 void PieceTransfer::Pump(std::shared_ptr<Job> job)
 {
     if (job->m_Finished || !job->m_Exchange)
--- a/src/version/piece_transfer_list.cpp
+++ b/src/version/piece_transfer_list.cpp
@@ -1,4 +1,4 @@
-// The list of digests: obtaining it, and handing it on. See piece_transfer.h.
+// The list of digests: obtaining it, and sending it to neighbours. See piece_transfer.h.
 #include "common/log.h"
 #include "version/piece_transfer_internal.h"
 
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr auto kListDelayPerRank = milliseconds(350);  // how long each box in order waits for a neighbour's list before it asks the origin
+constexpr auto kListDelayPerRank = milliseconds(350);  // a box of rank n waits n times this long for a list before it asks the origin
 constexpr auto kListTimeout      = milliseconds(1500); // for one answer with a list
 
 } // namespace
@@ -34,7 +34,7 @@
 
 awaitable<bool> PieceTransfer::ListFromPeers(std::shared_ptr<Job> job)
 {
-    const std::set<std::string> listed = job->m_ListHolders; // more may be heard of meanwhile
+    const std::set<std::string> listed = job->m_ListHolders; // a copy: announcements may add to m_ListHolders meanwhile
     for (const std::string& peer : listed)
     {
         const LinkPtr link = m_Links.Find(peer);
@@ -66,7 +66,7 @@
     auto list = co_await m_Origin.ReadList(m_DeclaredOrigin->m_Address, m_Model, job->m_Version, Now() + kListTimeout);
     if (!list || !UsableList(list.value()))
     {
-        LogEvent(Event_OriginUnreachable, {{"version", job->m_Version}, {"what", list ? "list of digests is spoilt" : list.error().m_Message}});
+        LogEvent(Event_OriginUnreachable, {{"version", job->m_Version}, {"what", list ? "list of digests is malformed" : list.error().m_Message}});
         co_return false;
     }
     if (job->m_Finished)
--- a/src/version/piece_transfer_news.cpp
+++ b/src/version/piece_transfer_news.cpp
@@ -1,4 +1,4 @@
-// Who has what: telling neighbours, and hearing of it. See piece_transfer.h.
+// Which box has which pieces: announcements to neighbours, and from them. See piece_transfer.h.
 #include "version/piece_transfer_internal.h"
 
 namespace aldervale
@@ -7,8 +7,8 @@
 namespace
 {
 
-constexpr auto kAnnounceInterval     = milliseconds(40);  // news of pieces to neighbours
-constexpr auto kAnnounceIdleInterval = milliseconds(250); // looks for such news while nothing is fetched
+constexpr auto kAnnounceInterval     = milliseconds(40);  // between announcements of new pieces to neighbours
+constexpr auto kAnnounceIdleInterval = milliseconds(250); // between looks for new pieces while nothing is being fetched
 
 } // namespace
 
@@ -28,7 +28,7 @@
     }
     if (m_LoadedVersion == 0 || m_Sets.contains(m_LoadedVersion) || m_Model.empty())
         return;
-    wire::HaveUpdateT held; // lies staged at the own server; each piece is checked by whoever takes it
+    wire::HaveUpdateT held; // staged at the local server; the receiver checks each piece
     held.digest = NameOf(m_LoadedVersion);
     held.whole  = true;
     link->Send(EncodeFrame(0, held));
@@ -42,7 +42,7 @@
     m_Links.Broadcast(have);
 }
 
-// A neighbour is told only of pieces that it isn't known to have: with all told to all, news took an eighth of a box's link.
+// Notifies a neighbour only of pieces that it isn't known to have: announcing every piece to all neighbours took an eighth of a box's link.
 void PieceTransfer::AnnouncePieces(Job& job)
 {
     for (const std::string& peer : m_Links.Up())
@@ -119,7 +119,7 @@
     if (!version)
         return;
     if (*version > m_Version && m_OnVersionSeen)
-        m_OnVersionSeen(*version); // before anything else: it may begin a new job
+        m_OnVersionSeen(*version); // called first, because it may start a new job
     if (!IsFetching() || *version != m_Job->m_Version)
         return;
     if (have.listed())
--- a/src/version/piece_transfer_uploads.cpp
+++ b/src/version/piece_transfer_uploads.cpp
@@ -1,4 +1,4 @@
-// Pieces for neighbours, at the pace that live answers leave room for. See piece_transfer.h.
+// Uploads pieces to neighbours, at a rate that leaves room for answers to callers. See piece_transfer.h.
 #include "version/piece_transfer_internal.h"
 
 namespace aldervale
@@ -8,10 +8,10 @@
 {
 
 constexpr auto     kNoThrow              = asio::as_tuple(asio::use_awaitable);
-constexpr unsigned kUploadsMax           = 6; // waiting; more are refused as busy
-constexpr unsigned kUploadsAtOnce        = 4; // on links that haven't taken theirs: windows are small, and one neighbour's full link held up all
-constexpr size_t   kUploadQueuedMaxBytes = 4 * 1024;        // bytes left to send on a link below which the next piece may follow
-constexpr auto     kUploadPollInterval   = milliseconds(5); // looks whether a link has taken a piece
+constexpr unsigned kUploadsMax           = 6; // length of the upload queue; further requests are refused as busy
+constexpr unsigned kUploadsAtOnce        = 4; // on links that still have data queued: with 1, a single neighbour with a full link delayed all others
+constexpr size_t   kUploadQueuedMaxBytes = 4 * 1024;        // a link with less than this queued may get the next piece
+constexpr auto     kUploadPollInterval   = milliseconds(5); // between looks whether a link has sent a piece
 
 } // namespace
 
@@ -48,7 +48,7 @@
     }
 }
 
-// Null: it isn't here, and the asker was told.
+// Returns null if the piece isn't here; the neighbour has been sent a refusal then.
 awaitable<PieceBytes> PieceTransfer::PieceToSend(const Upload& u)
 {
     PieceBytes      bytes;
@@ -69,7 +69,7 @@
     co_return bytes;
 }
 
-// Returns when the next piece may follow; this one may still be on its way.
+// Returns when the next piece may be sent; this one may still be in transit.
 awaitable<void> PieceTransfer::SendPiece(const Upload& u, PieceBytes bytes)
 {
     const auto size = static_cast<double>(bytes->size());
@@ -85,7 +85,7 @@
 
 awaitable<void> PieceTransfer::AwaitSent(LinkPtr link)
 {
-    const TimePoint until = Now() + kPieceTimeout; // a neighbour that reads slowly may not hold up the others for longer
+    const TimePoint until = Now() + kPieceTimeout; // a neighbour that reads slowly delays the others no longer than this
     while (link->Queued() > kUploadQueuedMaxBytes && !link->Closed() && Now() < until)
         co_await SleepFor(kUploadPollInterval);
     m_Sending--;
--- a/src/version/piece_wire.cpp
+++ b/src/version/piece_wire.cpp
@@ -1,4 +1,4 @@
-// Names of versions and lists of digests between boxes. See piece_transfer_internal.h.
+// Version names and lists of digests in messages between boxes. See piece_transfer_internal.h.
 #include "version/piece_transfer_internal.h"
 #include <boost/json.hpp>
 #include <charconv>
@@ -54,7 +54,7 @@
     PieceList               out;
     boost::json::error_code no_version;
     boost::json::error_code no_bytes;
-    out.m_Version    = version->to_number<uint64_t>(no_version); // out of range or no number: an error, not an exception
+    out.m_Version    = version->to_number<uint64_t>(no_version); // out of range or not a number: sets the error code instead of throwing
     out.m_PieceBytes = bytes->to_number<uint32_t>(no_bytes);
     if (no_version || no_bytes)
         return std::nullopt;
--- a/tests/test_pieces.cpp
+++ b/tests/test_pieces.cpp
@@ -1,4 +1,4 @@
-// Weights in pieces between agents, over real links on loopback: spreading, spoilt pieces, a dark origin, and the keeper's orders.
+// Tests of weights in pieces between agents, over real links on loopback: distribution, corrupt pieces, an unreachable origin, and start orders.
 #include "support_io.h"
 #include "version/piece_transfer_internal.h"
 #include "version/weight_keeper.h"
@@ -55,19 +55,19 @@
     }
 
     std::atomic<bool> m_Down{false};
-    std::atomic<int>  m_CorruptReads{0}; // pieces still to spoil
-    std::atomic<int>  m_BadLists{0};     // lists still to spoil
+    std::atomic<int>  m_CorruptReads{0}; // pieces still to be sent corrupt
+    std::atomic<int>  m_BadLists{0};     // lists still to be sent with a wrong digest
     std::atomic<int>  m_Reads{0};
     std::atomic<int>  m_Lists{0};
 };
 
-// Spoils every other of the first pieces that it is asked for, the very first one included. Answers at once, as its base does.
+// Sends every other one of the first pieces corrupt, starting with the first. Answers without delay, as its base class does.
 class CorruptingOrigin : public FakeOrigin
 {
 public:
     awaitable<Result<std::vector<uint8_t>>> ReadPiece(Endpoint, std::string, uint64_t version, uint32_t n, bool, TimePoint) override
     {
-        constexpr int        kCorruptUntil = 10; // reads: more spoilt pieces than make a list doubted, too few for the next list
+        constexpr int        kCorruptUntil = 10; // reads: enough corrupt pieces to make the first list suspect, too few for the second
         const int            read          = m_Reads++;
         std::vector<uint8_t> bytes         = PieceOf(version, n);
         if (read % 2 == 0 && read < kCorruptUntil)
@@ -138,7 +138,7 @@
             m_Staged[n] = PieceOf(version, n);
     }
 
-    void Restart() // holds nothing; what is staged stays
+    void Restart() // nothing is loaded; staged pieces stay
     {
         std::lock_guard lock(m_Mutex);
         m_Held   = 0;
@@ -163,20 +163,20 @@
         return r;
     }
 
-    Duration                                 m_ReportTakes{};         // from its state to the report's arrival; set before the start
-    Duration                                 m_LastRequestTakes{};    // of a request that comes with the last piece that is put; set before the start
-    std::mutex                               m_Mutex;                 // guards the members below
-    TimePoint                                m_RunsUntil{};           // the end of that request
-    int                                      m_CancelledRequests = 0; // requests that an order cut
+    Duration   m_ReportTakes{};         // delay between the report's content and its arrival; set before the start
+    Duration   m_LastRequestTakes{};    // duration of a request that arrives with the last staged piece; set before the start
+    std::mutex m_Mutex;                 // guards the members below
+    TimePoint  m_RunsUntil{};           // when that request ends
+    int        m_CancelledRequests = 0; // requests that a start order cut off
     std::map<uint32_t, std::vector<uint8_t>> m_Staged;
     uint64_t                                 m_Held         = 0;
     uint64_t                                 m_Orders       = 0;
     int                                      m_RefuseOrders = 0;
     bool                                     m_Dead         = false;
-    bool                                     m_StartedWhole = true; // every start found every piece as it should be
+    bool                                     m_StartedWhole = true; // at every start all pieces were staged with the right content
 };
 
-// One box: a thread of its own, as a process would have.
+// One box, with its own thread as an agent process would have.
 struct Box
 {
     Box(const std::string& name, FakeOrigin& origin, const std::string& data_centre)
@@ -201,7 +201,7 @@
 
     void Start(const std::vector<PeerBox>& peers)
     {
-        m_Transfer->SetOrigin({m_At, 0, 0}); // the fake doesn't look at it
+        m_Transfer->SetOrigin({m_At, 0, 0}); // not used by the fake origin
         m_Transfer->SetPeers(peers);
         m_Keeper->SetModel("m");
         m_Keeper->Start();
@@ -270,7 +270,7 @@
         b->Declare(2);
     BOOST_TEST(boxes.AllHold(2));
     BOOST_TEST(boxes.StartedWhole());
-    BOOST_TEST(boxes.m_Origin.m_Reads.load() <= static_cast<int>(2 * 2 * kPieces)); // far from one copy a box and version
+    BOOST_TEST(boxes.m_Origin.m_Reads.load() <= static_cast<int>(2 * 2 * kPieces)); // at most two copies per version, not one per box
 }
 
 BOOST_AUTO_TEST_CASE(a_new_box_gets_its_pieces_from_the_staging_of_other_boxes)
@@ -296,10 +296,10 @@
     BOOST_TEST(boxes.StartedWhole());
 }
 
-// A neighbour's news made a box ask the origin for two pieces. The first one was answered at once, was the fourth spoilt one, and so the list
-// of digests was read again and the fetch began anew. The second one, which the fetch that was given up had asked for, was then read and
-// booked by the new fetch, as the loop went on with whatever fetch was under way: the new exchange was told of a chunk that it had never asked
-// for. Its counts went below zero, after which it takes every slot for full and asks the origin for nothing more.
+// Guards against a fetch that stops requesting pieces. An update from a neighbour made a box request two pieces from the origin. The first was
+// answered at once and was the fourth corrupt one, so the list of digests was read again and the fetch restarted. The second piece, requested by the
+// abandoned fetch, was then booked by the new one, whose exchange had never requested it. The exchange's counts dropped below zero, after which it
+// took every slot for occupied and requested nothing more from the origin.
 BOOST_AUTO_TEST_CASE(a_restarted_fetch_ignores_pieces_requested_before)
 {
     asio::io_context ioc;
@@ -313,10 +313,10 @@
     BOOST_REQUIRE(box.Listen(at).has_value());
     BOOST_REQUIRE(neighbour.Listen(by).has_value());
     neighbour.SetPeers({{at, "dc-1"}});
-    box.SetOrigin({at, 0, 0}); // the fake doesn't look at it
+    box.SetOrigin({at, 0, 0}); // not used by the fake origin
     box.SetModel("m");
     box.StartFetch(1);
-    wire::HaveUpdateT news; // of nothing new: it only makes the box look at what to fetch next
+    wire::HaveUpdateT news; // without new pieces: it only makes the box look at what to fetch next
     news.digest         = VersionName("m", 1);
     const TimePoint end = Now() + seconds(30); // only a hang reaches it
     while (!box.IsComplete() && Now() < end)
@@ -326,7 +326,7 @@
     }
     BOOST_REQUIRE(box.IsComplete());
     BOOST_TEST(origin.m_Lists.load() == 2);
-    BOOST_TEST(origin.m_Reads.load() == 7 + 1 + static_cast<int>(kPieces)); // until the list was doubted; one more spoilt; each once
+    BOOST_TEST(origin.m_Reads.load() == 7 + 1 + static_cast<int>(kPieces)); // until the list became suspect; one more corrupt piece; each piece once
     for (uint32_t n = 0; n < kPieces; n++)
         BOOST_TEST((*box.Find(1)->m_Pieces[n] == PieceOf(1, n)));
 }
@@ -371,9 +371,9 @@
     BOOST_TEST(boxes.AllHold(1));
 }
 
-// Before a start is ordered the server is drained for a while: its last requests may end. Whether any is there was read from the newest report, which
-// may be older than the drain: a request that came after it, while routers still sent some, wasn't seen, and the order cut it off at once. Here it
-// ends well within the time that the drain may take.
+// Guards against a start order that cuts off a running request. The server is drained before the order, and the newest report decided whether
+// requests were left. That report could be older than the drain: a request that arrived after it, while routers still sent some, was missed and cut
+// off. Here the request ends well within the drain timeout.
 BOOST_AUTO_TEST_CASE(a_request_that_came_after_the_last_report_is_not_cut_off_by_an_order)
 {
     Boxes       boxes(1);
@@ -421,7 +421,7 @@
     listener.SetBoxes({{boxes.m_Boxes[0]->m_At, true, 1}});
     router.Run();
     BOOST_TEST(Eventually([&] { return serving.load() > 0; }));
-    // Bytes that are no report change nothing.
+    // Bytes that are not a report are ignored.
     asio::io_context ioc;
     udp::socket      stray(ioc, udp::endpoint(udp::v4(), 0));
     stray.send_to(asio::buffer("not a frame", 11), udp::endpoint(boxes.m_Boxes[0]->m_At.m_Address, boxes.m_Boxes[0]->m_At.m_Port));
@@ -476,7 +476,7 @@
     BOOST_REQUIRE(received.size() >= 2u);
     BOOST_TEST(received[0].m_Model == "m");
     BOOST_TEST(received[0].m_Version == 2u);
-    BOOST_TEST((received[0].m_At == TimePoint{})); // at an unknown time
+    BOOST_TEST((received[0].m_At == TimePoint{})); // unknown time
     BOOST_TEST(received[1].m_Model == "n");
     BOOST_TEST((received[1].m_At > named_at - milliseconds(2)));
     BOOST_TEST((received[1].m_At < named_at + seconds(2)));
@@ -492,7 +492,7 @@
 
 BOOST_AUTO_TEST_CASE(a_link_that_proves_narrow_soon_carries_few_pieces_at_once)
 {
-    constexpr int kPieceMs = 216; // of 24 KiB at an eighth of the declared link
+    constexpr int kPieceMs = 216; // transmission time of 24 KiB at an eighth of the declared bandwidth, ms
     unsigned      slots    = kPieceSlotsFirst;
     unsigned      most     = 0;
     for (int i = 0; i < 12; i++)
@@ -500,7 +500,7 @@
         most  = std::max(most, slots);
         slots = NextPieceSlots(slots, milliseconds(kPieceMs * static_cast<int>(slots)));
     }
-    BOOST_TEST(most * kPieceMs < 700u); // the longest wait of a live request behind pieces, ms
+    BOOST_TEST(most * kPieceMs < 700u); // longest wait of a live request behind pieces, ms
     BOOST_TEST(slots <= 2u);
     for (int i = 0; i < 12; i++)
         slots = NextPieceSlots(slots, milliseconds(100));
@@ -509,13 +509,13 @@
 
 BOOST_AUTO_TEST_CASE(a_narrow_link_carries_one_piece_at_a_time)
 {
-    constexpr int kPieceMs = 216; // of 24 KiB at an eighth of the declared link
+    constexpr int kPieceMs = 216; // transmission time of 24 KiB at an eighth of the declared bandwidth, ms
     unsigned      slots    = kPieceSlotsMax;
     for (int i = 0; i < 12; i++)
         slots = NextPieceSlots(slots, milliseconds(kPieceMs * static_cast<int>(slots)));
     for (int i = 0; i < 12; i++)
     {
-        BOOST_TEST(slots == 1u); // two of them would be half a second for a live request
+        BOOST_TEST(slots == 1u); // with two, a live request would wait for half a second
         slots = NextPieceSlots(slots, milliseconds(kPieceMs * static_cast<int>(slots)));
     }
 }
@@ -526,14 +526,14 @@
     LinkSlowdown    slowdown;
     BOOST_TEST(slowdown.Value(start) == 1.0);
     for (int i = 0; i < 6; i++)
-        slowdown.OnPiece(milliseconds(120), milliseconds(276), start); // eight at once on a link as declared
+        slowdown.OnPiece(milliseconds(120), milliseconds(276), start); // eight at a time on a link as fast as declared
     BOOST_TEST(slowdown.Value(start) == 1.0);
     for (int i = 0; i < 6; i++)
         slowdown.OnPiece(milliseconds(800), milliseconds(110), start);
     BOOST_TEST(slowdown.Value(start) > 4.0);
-    BOOST_TEST(slowdown.Value(start + seconds(5)) == 1.0); // nothing is fetched any more
+    BOOST_TEST(slowdown.Value(start + seconds(5)) == 1.0); // no fetch is in progress any more
     slowdown.OnPiece(milliseconds(120), milliseconds(276), start + seconds(9));
-    BOOST_TEST(slowdown.Value(start + seconds(9)) == 1.0); // the next fetch starts afresh
+    BOOST_TEST(slowdown.Value(start + seconds(9)) == 1.0); // the next fetch starts with a new estimate
 }
 
 BOOST_AUTO_TEST_CASE(a_list_of_digests_with_invalid_numbers_is_refused)
