--- a/tests/test_pieces.cpp
+++ b/tests/test_pieces.cpp
@@ -316,12 +316,12 @@
     box.SetOrigin({at, 0, 0}); // not used by the fake origin
     box.SetModel("m");
     box.StartFetch(1);
-    wire::HaveUpdateT news; // without new pieces: it only makes the box look at what to fetch next
-    news.digest         = VersionName("m", 1);
+    wire::HaveUpdateT update; // without new pieces: it only makes the box look at what to fetch next
+    update.digest       = VersionName("m", 1);
     const TimePoint end = Now() + seconds(30); // only a hang reaches it
     while (!box.IsComplete() && Now() < end)
     {
-        neighbour.Broadcast(news);
+        neighbour.Broadcast(update);
         ioc.run_for(milliseconds(1));
     }
     BOOST_REQUIRE(box.IsComplete());
--- a/tests/test_place_channel.cpp
+++ b/tests/test_place_channel.cpp
@@ -175,8 +175,7 @@
     const uint16_t   port = FreeEndpoint().m_Port;
     TestBox          dead_server(ioc, On(2, port), false);
     TestRouter       router(ioc, On(10, port));
-    BOOST_TEST(
-        Ask(ioc, router, {On(2, port), On(3, port)}).empty()); // at the first box the server doesn't answer, at the second one no process listens
+    BOOST_TEST(Ask(ioc, router, {On(2, port), On(3, port)}).empty()); // the first box's server doesn't answer, the second box doesn't exist
     dead_server.m_Reports = true;
     dead_server.m_Answers.OnReport(dead_server.m_Load, Now()); // too late for the question that waited
     ioc.run_for(milliseconds(5));
