--- a/src/version/model_knowledge.cpp
+++ b/src/version/model_knowledge.cpp
@@ -98,11 +98,11 @@
 }
 
 // Only a newer version replaces the recorded one: later reads repeat it, and the first time of receipt is the most accurate.
-void ModelKnowledge::RecordVersion(std::string_view model, const DeclaredVersion& named)
+void ModelKnowledge::RecordVersion(std::string_view model, const DeclaredVersion& candidate)
 {
     DeclaredVersion& newest = m_NewestByModel[std::string(model)];
-    if (named.m_Version > newest.m_Version)
-        newest = named;
+    if (candidate.m_Version > newest.m_Version)
+        newest = candidate;
 }
 
 DeclaredVersion ModelKnowledge::Newest() const
--- a/src/version/model_knowledge.h
+++ b/src/version/model_knowledge.h
@@ -62,7 +62,7 @@
 
 private:
     bool      ApplyDeclarations(uint64_t declared, const std::string& model, const std::optional<WeightOrigin>& origin);
-    void      RecordVersion(std::string_view model, const DeclaredVersion& named);
+    void      RecordVersion(std::string_view model, const DeclaredVersion& candidate);
     TimePoint ReceiveTime(TimePoint now) const { return m_RowsRead ? now : TimePoint{}; }
 
     std::string                                         m_Service;          //
--- a/src/version/piece_transfer.cpp
+++ b/src/version/piece_transfer.cpp
@@ -86,11 +86,11 @@
     m_Links.SetPeers(std::move(peers));
 }
 
-std::vector<std::string> PieceTransfer::BoxNames(bool own_data_centre) const
+std::vector<std::string> PieceTransfer::BoxNames(bool same_data_centre) const
 {
     std::vector<std::string> out = {m_Self.m_Name};
     for (const PeerBox& p : m_Peers)
-        if (p.Name() != m_Self.m_Name && (!own_data_centre || p.m_DataCentre == m_Self.m_DataCentre))
+        if (p.Name() != m_Self.m_Name && (!same_data_centre || p.m_DataCentre == m_Self.m_DataCentre))
             out.push_back(p.Name());
     return out;
 }
--- a/src/version/piece_transfer.h
+++ b/src/version/piece_transfer.h
@@ -93,7 +93,7 @@
         Duration     m_Waited{};                      // time that the piece waited in the neighbour's upload queue
     };
 
-    std::vector<std::string> BoxNames(bool own_data_centre) const;
+    std::vector<std::string> BoxNames(bool same_data_centre) const;
     std::string              NameOf(uint64_t version) const;
 
     // One job (piece_transfer_job.cpp)
--- a/src/version/start_plan.cpp
+++ b/src/version/start_plan.cpp
@@ -52,10 +52,10 @@
     const bool fetching = in.m_FetchVersion > 0 && !in.m_FetchComplete && in.m_FetchVersion > in.m_LoadedVersion;
     if (!fetching || in.m_FetchVersion >= target)
         return target;
-    const auto older    = m_DeclaredAt.find(in.m_FetchVersion);
-    const auto newer    = m_DeclaredAt.upper_bound(in.m_FetchVersion);
-    const bool declared = older != m_DeclaredAt.end() && newer != m_DeclaredAt.end();
-    if (!declared)
+    const auto older         = m_DeclaredAt.find(in.m_FetchVersion);
+    const auto newer         = m_DeclaredAt.upper_bound(in.m_FetchVersion);
+    const bool both_declared = older != m_DeclaredAt.end() && newer != m_DeclaredAt.end();
+    if (!both_declared)
         return target;
     const bool old_enough = newer->second - older->second >= m_Config.m_KeepFetchMinLead;
     const bool in_time    = now < older->second + FromSeconds(ToSeconds(m_Config.m_WeightsDeadline) * m_Config.m_KeepFetchShare);
@@ -64,12 +64,12 @@
 
 TimePoint StartPlan::ScheduledStart(const PlanInput& in) const
 {
-    const auto named = m_DeclaredAt.find(in.m_NewestComplete);
-    if (named == m_DeclaredAt.end())
+    const auto declared = m_DeclaredAt.find(in.m_NewestComplete);
+    if (declared == m_DeclaredAt.end())
         return {};
     const double position = in.m_BoxCount > 1 ? static_cast<double>(in.m_StartRank) / static_cast<double>(in.m_BoxCount - 1) : 0;
     const double share    = m_Config.m_FirstStartShare + position * (m_Config.m_LastStartShare - m_Config.m_FirstStartShare);
-    return named->second + FromSeconds(ToSeconds(m_Config.m_WeightsDeadline) * share);
+    return declared->second + FromSeconds(ToSeconds(m_Config.m_WeightsDeadline) * share);
 }
 
 uint64_t StartPlan::NextStart(const PlanInput& in, TimePoint now) const
--- a/src/version/weight_keeper.cpp
+++ b/src/version/weight_keeper.cpp
@@ -9,16 +9,16 @@
 {
 
 constexpr auto     kReportInterval     = milliseconds(75);  // between reports of the local server
-constexpr auto     kReportTimeout      = milliseconds(400); //
+constexpr auto     kReportTimeout      = milliseconds(400); // for one report
 constexpr unsigned kMissedReportsMax   = 2;                 // missed reports in a row after which the server counts as unreachable
-constexpr auto     kPlanInterval       = milliseconds(100); //
+constexpr auto     kPlanInterval       = milliseconds(100); // between looks at what to fetch and to start
 constexpr auto     kPieceTimeout       = milliseconds(800); // for staging or reading one piece
 constexpr auto     kOrderTimeout       = milliseconds(800); // for the answer to an order
 constexpr auto     kOrderEffectTimeout = seconds(6);        // an order without a visible effect is repeated after this time
 constexpr auto     kDrainTimeout =
     milliseconds(1400); // from the notice to routers until the order, which cuts off running requests: a typical stream takes about 1.2 s
 constexpr auto kRouterNotifyDelay = milliseconds(25); // shortest drain: the transit time of a datagram to routers
-constexpr auto kDrainPollInterval = milliseconds(25); //
+constexpr auto kDrainPollInterval = milliseconds(25); // between looks whether the server is idle
 
 } // namespace
 
@@ -95,20 +95,20 @@
 {
     for (;;)
     {
-        const TimePoint asked  = Now();
-        const auto      report = co_await m_Server.Report(asked + kReportTimeout);
-        const bool      was    = m_Reachable;
-        const uint64_t  held   = m_Report.m_Weights;
-        const bool      taken  = report && AcceptReport(report.value());
-        m_ReportAskedAt        = taken ? asked : m_ReportAskedAt;
-        m_MissedReports        = taken ? 0 : m_MissedReports + 1;
-        m_Reachable            = taken || (m_Reachable && m_MissedReports < kMissedReportsMax);
-        if (was && !m_Reachable)
-            LogEvent(Event_OwnServerLost, {{"why", report ? std::string("only reports of an earlier lifetime") : report.error().m_Message}});
-        if (!was && m_Reachable)
+        const TimePoint asked         = Now();
+        const auto      report        = co_await m_Server.Report(asked + kReportTimeout);
+        const bool      was_reachable = m_Reachable;
+        const uint64_t  held_before   = m_Report.m_Weights;
+        const bool      taken         = report && AcceptReport(report.value());
+        m_ReportAskedAt               = taken ? asked : m_ReportAskedAt;
+        m_MissedReports               = taken ? 0 : m_MissedReports + 1;
+        m_Reachable                   = taken || (m_Reachable && m_MissedReports < kMissedReportsMax);
+        if (was_reachable && !m_Reachable)
+            LogEvent(Event_OwnServerLost, {{"why", report ? std::string("only reports of an earlier incarnation") : report.error().m_Message}});
+        if (!was_reachable && m_Reachable)
             LogEvent(Event_OwnServerBack, {{"held", m_Report.m_Weights}, {"orders", m_Report.m_Orders}});
-        if (held != m_Report.m_Weights)
-            LogEvent(Event_WeightsServing, {{"version", m_Report.m_Weights}, {"before", held}});
+        if (held_before != m_Report.m_Weights)
+            LogEvent(Event_WeightsServing, {{"version", m_Report.m_Weights}, {"before", held_before}});
         const bool done = m_StartInProgress && m_OrderedAt != TimePoint{} && !m_Report.m_Busy &&
                           (m_Report.m_Weights >= m_OrderedVersion || !m_Reachable || Now() - m_OrderedAt > kOrderEffectTimeout);
         if (done)
