--- a/src/request/direct_place.cpp
+++ b/src/request/direct_place.cpp
@@ -46,7 +46,7 @@
     RequestNeed need;
     need.m_Service            = call.m_Service;
     need.m_Objective          = call.m_Route->m_Goal;
-    need.m_StrictestObjective = call.m_Routes->StrictestGoal(call.m_Service->m_Name);
+    need.m_StrictestObjective = call.m_Routes->StrictestObjective(call.m_Service->m_Name);
     need.m_TimeToDeadline     = call.TimeLeft(now);
     need.m_PromptTokens       = call.m_Caller.m_PromptTokens;
     need.m_AnswerTokens       = call.m_Caller.m_MaxAnswerTokens;
--- a/src/request/engine_prediction.h
+++ b/src/request/engine_prediction.h
@@ -1,9 +1,9 @@
 // aldervale: predicted time to the first event of a request at a model engine
 //
-// Pure logic, from the declared costs of the engine and its estimated load. An engine works in passes: each reads (prefills) up to m_ReadMax
-// prompt tokens, then runs m_StepsPerPass decode steps for all requests in the batch. A request waits for the pass in progress, for the prompts
-// ahead of its own (each costs its reading and its part of the steps between two reads), and, when all slots are taken, for a slot; both waits
-// pass at the same time. Then its own prompt is read and the steps up to its first event run.
+// Pure logic, from the declared costs of the engine and its estimated load. An engine works in passes: each reads (prefills) up to
+// m_PromptTokensPerPassMax prompt tokens, then runs m_StepsPerPass decode steps for all requests in the batch. A request waits for the pass in
+// progress, for the prompts ahead of its own (each costs its reading and its part of the steps between two reads), and, when all slots are taken, for
+// a slot; both waits pass at the same time. Then its own prompt is read and the steps up to its first event run.
 //
 // Compared with the true state of the servers on 8,800 requests under changing load: median error -10 ms, and within 30 ms for each number of
 // requests at the server (8 to 25). A model with a mean pass in place of reads and steps was 100 ms too long with one more request than slots.
--- a/src/request/server_choice.cpp
+++ b/src/request/server_choice.cpp
@@ -21,7 +21,7 @@
 // How much longer the request's own prompt takes to be read than a usual one, ms; negative for a shorter one.
 double ExtraPromptMs(const RequestNeed& need)
 {
-    return (need.m_PromptTokens - need.m_Service->m_Engine->m_UsualPrompt) / need.m_Service->m_Engine->m_ReadPerMs;
+    return (need.m_PromptTokens - need.m_Service->m_Engine->m_MeanPromptTokens) / need.m_Service->m_Engine->m_ReadPerMs;
 }
 
 // Weight of an outcome as a failure, 0 to 1.
--- a/src/request/server_prediction.cpp
+++ b/src/request/server_prediction.cpp
@@ -110,7 +110,7 @@
         load.m_InFlight = std::min<double>(load.m_InFlight, std::max(1u, e.m_Slots) - 1);
     load.m_Waiting            = fresh ? s.m_Report.m_Waiting : 0;
     load.m_OwnUnreadTokens    = s.m_UnreadTokens;
-    load.m_OthersUnreadTokens = o.m_OthersUnread * e.m_UsualPrompt;
+    load.m_OthersUnreadTokens = o.m_OthersUnread * e.m_MeanPromptTokens;
     if (HasFreshAnswer(s, now))
         load.m_ReportedUnreadMs = s.m_Report.m_UnreadMs;
     return FirstEventMs(e, load, need.m_PromptTokens) * (fresh ? std::max<double>(1, s.m_Report.m_Pace) : 1);
--- a/src/version/piece_transfer_uploads.cpp
+++ b/src/version/piece_transfer_uploads.cpp
@@ -1,4 +1,4 @@
-// Pieces for neighbours, at the pace that live answers leave room for. See piece_transfer.h.
+// Uploads pieces to neighbours, at a rate that leaves room for answers to callers. See piece_transfer.h.
 #include "version/piece_transfer_internal.h"
 
 namespace aldervale
@@ -7,11 +7,11 @@
 namespace
 {
 
-constexpr auto     kNoThrow       = asio::as_tuple(asio::use_awaitable);
-constexpr unsigned kUploadsMax    = 6;        // waiting; more are refused as busy
-constexpr unsigned kUploadsAtOnce = 4;        // on links that haven't taken theirs: windows are small, and one neighbour's full link held up all
-constexpr size_t   kUploadQueued  = 4 * 1024; // bytes left to send on a link below which the next piece may follow
-constexpr auto     kUploadPoll    = milliseconds(5); // looks whether a link has taken a piece
+constexpr auto     kNoThrow              = asio::as_tuple(asio::use_awaitable);
+constexpr unsigned kUploadsMax           = 6; // length of the upload queue; further requests are refused as busy
+constexpr unsigned kUploadsAtOnce        = 4; // on links that still have data queued: with 1, a single neighbour with a full link delayed all others
+constexpr size_t   kUploadQueuedMaxBytes = 4 * 1024;        // a link with less than this queued may get the next piece
+constexpr auto     kUploadPollInterval   = milliseconds(5); // between looks whether a link has sent a piece
 
 } // namespace
 
@@ -48,16 +48,16 @@
     }
 }
 
-// Null: it isn't here, and the asker was told.
+// Returns null if the piece isn't here; the neighbour has been sent a refusal then.
 awaitable<PieceBytes> PieceTransfer::PieceToSend(const Upload& u)
 {
     PieceBytes      bytes;
     const PieceSet* set = Find(u.m_Version);
     if (set != nullptr && u.m_Piece < set->m_Pieces.size())
         bytes = set->m_Pieces[u.m_Piece];
-    if (!bytes && u.m_Version == m_Held)
+    if (!bytes && u.m_Version == m_LoadedVersion)
     {
-        auto staged = co_await m_Server.GetPiece(m_Model, u.m_Piece, Now() + kOwnMax);
+        auto staged = co_await m_Server.GetPiece(m_Model, u.m_Piece, Now() + kServerCallTimeout);
         if (staged)
             bytes = std::make_shared<const std::vector<uint8_t>>(std::move(staged.value()));
     }
@@ -69,11 +69,11 @@
     co_return bytes;
 }
 
-// Returns when the next piece may follow; this one may still be on its way.
+// Returns when the next piece may be sent; this one may still be in transit.
 awaitable<void> PieceTransfer::SendPiece(const Upload& u, PieceBytes bytes)
 {
     const auto size = static_cast<double>(bytes->size());
-    m_UploadBucket.SetRate(m_LinkBytes * kUploadShare / Pace(), size, Now());
+    m_UploadBucket.SetRate(m_LinkBytesPerSecond * kUploadShare / Slowdown(), size, Now());
     const TimePoint go = m_UploadBucket.Reserve(size, Now());
     co_await SleepFor(go - Now());
     const auto waited = static_cast<uint32_t>(ToMs(Now() - u.m_AskedAt));
@@ -85,9 +85,9 @@
 
 awaitable<void> PieceTransfer::AwaitSent(LinkPtr link)
 {
-    const TimePoint until = Now() + kPieceMax; // a neighbour that reads slowly may not hold up the others for longer
-    while (link->Queued() > kUploadQueued && !link->Closed() && Now() < until)
-        co_await SleepFor(kUploadPoll);
+    const TimePoint until = Now() + kPieceTimeout; // a neighbour that reads slowly delays the others no longer than this
+    while (link->Queued() > kUploadQueuedMaxBytes && !link->Closed() && Now() < until)
+        co_await SleepFor(kUploadPollInterval);
     m_Sending--;
     m_UploadWake.cancel();
 }
--- a/src/version/place_answers.h
+++ b/src/version/place_answers.h
@@ -1,10 +1,12 @@
 // aldervale: answers routers that ask a box for a place at its model server, or claim one
 //
-// The shell around PlaceReservations and PlaceQueue: takes questions from the load channel, has the own server's report read again where the last one
-// is older than kFreshReport, and answers. A question that waited for longer than kAskKept is dropped: its router went by reports.
+// A place is capacity for one more concurrent request at a model server. A claim is a request to reserve the next free place; it may wait in a queue.
+// PlaceAnswers connects the logic in PlaceReservations (reserved places) and PlaceQueue (queue of claims) to the load channel: it receives questions,
+// has the local server's report fetched again if the last one is older than kReportMaxAge, and answers. A question that has waited for longer than
+// kQuestionMaxAge is dropped, because its router has decided by the last reports in the meantime.
 //
 // Usage (src/version/weight_keeper.cpp):
-//   PlaceAnswers answers(publisher, [this] { m_Wake.cancel(); });
+//   PlaceAnswers answers(publisher, [this] { m_ReportTimer.cancel(); });
 //   answers.OnReport(load, asked_at);          // after each report
 
 #pragma once
@@ -15,51 +17,51 @@
 namespace aldervale
 {
 
-constexpr auto kFreshReport = milliseconds(15); // a request comes to a server each 200 ms, one ends as often
-constexpr auto kAskKept     = milliseconds(50); // a router waits for less
-constexpr auto kLinePoll    = milliseconds(10); // between reports while claims stand in line: a slot stays empty for half of it
+constexpr auto kReportMaxAge      = milliseconds(15); // a request arrives at a server about every 200 ms, and one ends as often
+constexpr auto kQuestionMaxAge    = milliseconds(50); // a router waits for less than this
+constexpr auto kQueuePollInterval = milliseconds(10); // between reports while claims are queued: a free slot stays empty for half of it on average
 
-class PlaceAnswers // touched on one thread
+class PlaceAnswers // used on one thread only
 {
 public:
     PlaceAnswers(LoadPublisher& publisher, std::function<void()> want_report);
 
     void OnReport(const LoadReport& load, TimePoint asked_at);
-    void OnServerStarted() { m_Places.Clear(); }     // a new lifetime of it
-    bool HasLine() const { return !m_Line.Empty(); } // reports are wanted each kLinePoll
+    void OnServerStarted() { m_Places.Clear(); }       // a new incarnation of the server
+    bool HasQueue() const { return !m_Queue.Empty(); } // true: reports are needed every kQueuePollInterval
 
 private:
-    struct Waiting
+    struct PendingQuestion
     {
-        PlaceQuestion m_Question;  //
-        TimePoint     m_HeardAt{}; //
+        PlaceQuestion m_Question;     //
+        TimePoint     m_ReceivedAt{}; //
     };
 
-    struct HeardClaim
+    struct ReceivedClaim
     {
-        ClaimMessage m_Claim;     //
-        TimePoint    m_HeardAt{}; //
+        ClaimMessage m_Claim;        //
+        TimePoint    m_ReceivedAt{}; //
     };
 
     void OnAsk(const PlaceQuestion& question);
     void OnClaim(const ClaimMessage& claim);
     void OnRelease(const PlaceQuestion& question);
-    void TakeClaim(const HeardClaim& claim, TimePoint now);
+    void HandleClaim(const ReceivedClaim& claim, TimePoint now);
     void Settle(TimePoint now);
-    bool Fresh(TimePoint now) const { return m_AskedAt != TimePoint{} && now - m_AskedAt <= kFreshReport; }
-    bool TakesNothing() const { return m_Load.m_Starting || m_Load.m_Weights == 0; }
+    bool Fresh(TimePoint now) const { return m_ReportAskedAt != TimePoint{} && now - m_ReportAskedAt <= kReportMaxAge; }
+    bool RefusesRequests() const { return m_Load.m_Starting || m_Load.m_Weights == 0; }
     void Answer(const PlaceQuestion& question, TimePoint now);
 
-    LoadPublisher&          m_Publisher;  //
-    std::function<void()>   m_WantReport; // soon
-    PlaceReservations       m_Places;     //
-    PlaceQueue              m_Line;       //
-    LoadReport              m_Load;       // as last reported
-    TimePoint               m_AskedAt{};  // when that report was asked for; default: there was none
-    std::vector<Waiting>    m_Waiting;    // for a report; each less than kAskKept
-    std::vector<HeardClaim> m_Claims;     // the same
+    LoadPublisher&               m_Publisher;        //
+    std::function<void()>        m_RequestReport;    // has the local server's report fetched without delay
+    PlaceReservations            m_Places;           // reserved places
+    PlaceQueue                   m_Queue;            // claims that wait for a place
+    LoadReport                   m_Load;             // last report
+    TimePoint                    m_ReportAskedAt{};  // when m_Load was requested from the server; default: no report yet
+    std::vector<PendingQuestion> m_PendingQuestions; // wait for a report, each for at most kQuestionMaxAge
+    std::vector<ReceivedClaim>   m_PendingClaims;    // likewise
 
-    std::unordered_map<std::string, PlaceQuestion> m_InLine; // whom to tell, by the claim's key; of m_Line
+    std::unordered_map<std::string, PlaceQuestion> m_QueuedClaims; // where the answers to the claims in m_Queue go, by the claim's key
 };
 
 } // namespace aldervale
--- a/tests/test_pieces.cpp
+++ b/tests/test_pieces.cpp
@@ -1,4 +1,4 @@
-// Weights in pieces between agents, over real links on loopback: spreading, spoilt pieces, a dark origin, and the keeper's orders.
+// Tests of weights in pieces between agents, over real links on loopback: distribution, corrupt pieces, an unreachable origin, and start orders.
 #include "support_io.h"
 #include "version/piece_transfer_internal.h"
 #include "version/weight_keeper.h"
@@ -49,28 +49,28 @@
         if (m_Down)
             co_return MakeError(ErrorCode_Unavailable, "down");
         std::vector<uint8_t> bytes = PieceOf(version, n);
-        if (m_Spoil-- > 0)
+        if (m_CorruptReads-- > 0)
             bytes[5] ^= 1;
         co_return bytes;
     }
 
     std::atomic<bool> m_Down{false};
-    std::atomic<int>  m_Spoil{0};    // pieces still to spoil
-    std::atomic<int>  m_BadLists{0}; // lists still to spoil
+    std::atomic<int>  m_CorruptReads{0}; // pieces still to be sent corrupt
+    std::atomic<int>  m_BadLists{0};     // lists still to be sent with a wrong digest
     std::atomic<int>  m_Reads{0};
     std::atomic<int>  m_Lists{0};
 };
 
-// Spoils every other of the first pieces that it is asked for, the very first one included. Answers at once, as its base does.
-class SpoilingOrigin : public FakeOrigin
+// Sends every other one of the first pieces corrupt, starting with the first. Answers without delay, as its base class does.
+class CorruptingOrigin : public FakeOrigin
 {
 public:
     awaitable<Result<std::vector<uint8_t>>> ReadPiece(Endpoint, std::string, uint64_t version, uint32_t n, bool, TimePoint) override
     {
-        constexpr int        kSpoiltUntil = 10; // reads: more spoilt pieces than make a list doubted, too few for the next list
-        const int            read         = m_Reads++;
-        std::vector<uint8_t> bytes        = PieceOf(version, n);
-        if (read % 2 == 0 && read < kSpoiltUntil)
+        constexpr int        kCorruptUntil = 10; // reads: enough corrupt pieces to make the first list suspect, too few for the second
+        const int            read          = m_Reads++;
+        std::vector<uint8_t> bytes         = PieceOf(version, n);
+        if (read % 2 == 0 && read < kCorruptUntil)
             bytes[5] ^= 1;
         co_return bytes;
     }
@@ -93,7 +93,7 @@
             co_return StartOutcome_Refused;
         for (uint32_t n = 0; n < kPieces; n++)
             m_StartedWhole = m_StartedWhole && m_Staged.contains(n) && m_Staged[n] == PieceOf(order.m_Version, n);
-        m_CutOff += order.m_Cut && Now() < m_RunsUntil ? 1 : 0;
+        m_CancelledRequests += order.m_Cut && Now() < m_RunsUntil ? 1 : 0;
         m_Held = order.m_Version;
         m_Orders++;
         co_return StartOutcome_Begun;
@@ -104,7 +104,7 @@
         std::lock_guard lock(m_Mutex);
         m_Staged[n] = {bytes.begin(), bytes.end()};
         if (n + 1 == kPieces)
-            m_RunsUntil = Now() + m_LastCaller;
+            m_RunsUntil = Now() + m_LastRequestTakes;
         co_return Ok();
     }
 
@@ -138,14 +138,14 @@
             m_Staged[n] = PieceOf(version, n);
     }
 
-    void Restart() // holds nothing; what is staged stays
+    void Restart() // nothing is loaded; staged pieces stay
     {
         std::lock_guard lock(m_Mutex);
         m_Held   = 0;
         m_Orders = 0;
     }
 
-    void Rot(uint32_t n)
+    void CorruptStaged(uint32_t n)
     {
         std::lock_guard lock(m_Mutex);
         m_Staged[n][0] ^= 1;
@@ -163,20 +163,20 @@
         return r;
     }
 
-    Duration                                 m_ReportTakes{}; // from its state to the report's arrival; set before the start
-    Duration                                 m_LastCaller{};  // of a request that comes with the last piece that is put; set before the start
-    std::mutex                               m_Mutex;         // guards the members below
-    TimePoint                                m_RunsUntil{};   // the end of that request
-    int                                      m_CutOff = 0;    // requests that an order cut
+    Duration   m_ReportTakes{};         // delay between the report's content and its arrival; set before the start
+    Duration   m_LastRequestTakes{};    // duration of a request that arrives with the last staged piece; set before the start
+    std::mutex m_Mutex;                 // guards the members below
+    TimePoint  m_RunsUntil{};           // when that request ends
+    int        m_CancelledRequests = 0; // requests that a start order cut off
     std::map<uint32_t, std::vector<uint8_t>> m_Staged;
     uint64_t                                 m_Held         = 0;
     uint64_t                                 m_Orders       = 0;
     int                                      m_RefuseOrders = 0;
     bool                                     m_Dead         = false;
-    bool                                     m_StartedWhole = true; // every start found every piece as it should be
+    bool                                     m_StartedWhole = true; // at every start all pieces were staged with the right content
 };
 
-// One box: a thread of its own, as a process would have.
+// One box, with its own thread as an agent process would have.
 struct Box
 {
     Box(const std::string& name, FakeOrigin& origin, const std::string& data_centre)
@@ -185,9 +185,9 @@
         m_Transfer  = std::make_unique<PieceTransfer>(m_Daemon.Ioc(), origin, m_Server, ProcessName{m_At.ToString(), data_centre}, 0);
         m_Publisher = std::make_unique<LoadPublisher>(m_Daemon.Ioc(), data_centre);
         StartPlanConfig plan;
-        plan.m_Deadline   = milliseconds(100);
-        plan.m_OrderPause = milliseconds(20);
-        m_Keeper          = std::make_unique<WeightKeeper>(m_Daemon, plan, m_Server, *m_Transfer, *m_Publisher);
+        plan.m_WeightsDeadline = milliseconds(100);
+        plan.m_OrderRetryDelay = milliseconds(20);
+        m_Keeper               = std::make_unique<WeightKeeper>(m_Daemon, plan, m_Server, *m_Transfer, *m_Publisher);
         BOOST_REQUIRE(m_Transfer->Listen(m_At).has_value());
         BOOST_REQUIRE(m_Publisher->Listen(m_At).has_value());
     }
@@ -201,16 +201,16 @@
 
     void Start(const std::vector<PeerBox>& peers)
     {
-        m_Transfer->SetOrigin({m_At, 0, 0}); // the fake doesn't look at it
+        m_Transfer->SetOrigin({m_At, 0, 0}); // not used by the fake origin
         m_Transfer->SetPeers(peers);
         m_Keeper->SetModel("m");
         m_Keeper->Start();
         m_Thread = std::thread([this] { m_Daemon.Ioc().run(); });
     }
 
-    void Named(uint64_t version)
+    void Declare(uint64_t version)
     {
-        asio::post(m_Daemon.Ioc(), [this, version] { m_Keeper->OnNamed(version, Now()); });
+        asio::post(m_Daemon.Ioc(), [this, version] { m_Keeper->OnTargetVersion(version, Now()); });
     }
 
     Endpoint                       m_At = FreeEndpoint();
@@ -261,19 +261,19 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(empty_boxes_get_version_one_and_then_the_named_one_whole)
+BOOST_AUTO_TEST_CASE(empty_boxes_get_version_one_and_then_the_declared_one)
 {
     Boxes boxes(4);
     boxes.Start();
     BOOST_TEST(boxes.AllHold(1));
     for (const auto& b : boxes.m_Boxes)
-        b->Named(2);
+        b->Declare(2);
     BOOST_TEST(boxes.AllHold(2));
     BOOST_TEST(boxes.StartedWhole());
-    BOOST_TEST(boxes.m_Origin.m_Reads.load() <= static_cast<int>(2 * 2 * kPieces)); // far from one copy a box and version
+    BOOST_TEST(boxes.m_Origin.m_Reads.load() <= static_cast<int>(2 * 2 * kPieces)); // at most two copies per version, not one per box
 }
 
-BOOST_AUTO_TEST_CASE(a_new_box_gets_its_pieces_from_boxes_that_only_have_them_staged)
+BOOST_AUTO_TEST_CASE(a_new_box_gets_its_pieces_from_the_staging_of_other_boxes)
 {
     Boxes boxes(3);
     for (size_t i = 0; i < 2; i++)
@@ -286,24 +286,24 @@
     BOOST_TEST(boxes.StartedWhole());
 }
 
-BOOST_AUTO_TEST_CASE(spoilt_pieces_and_lists_of_the_origin_are_never_started)
+BOOST_AUTO_TEST_CASE(corrupt_pieces_and_lists_of_the_origin_are_never_started)
 {
     Boxes boxes(2);
-    boxes.m_Origin.m_Spoil    = 5;
-    boxes.m_Origin.m_BadLists = 1;
+    boxes.m_Origin.m_CorruptReads = 5;
+    boxes.m_Origin.m_BadLists     = 1;
     boxes.Start();
     BOOST_TEST(boxes.AllHold(1));
     BOOST_TEST(boxes.StartedWhole());
 }
 
-// A neighbour's news made a box ask the origin for two pieces. The first one was answered at once, was the fourth spoilt one, and so the list
-// of digests was read again and the fetch began anew. The second one, which the fetch that was given up had asked for, was then read and
-// booked by the new fetch, as the loop went on with whatever fetch was under way: the new exchange was told of a chunk that it had never asked
-// for. Its counts went below zero, after which it takes every slot for full and asks the origin for nothing more.
-BOOST_AUTO_TEST_CASE(a_fetch_that_begins_anew_is_told_nothing_of_pieces_asked_for_before)
+// Guards against a fetch that stops requesting pieces. An update from a neighbour made a box request two pieces from the origin. The first was
+// answered at once and was the fourth corrupt one, so the list of digests was read again and the fetch restarted. The second piece, requested by the
+// abandoned fetch, was then booked by the new one, whose exchange had never requested it. The exchange's counts dropped below zero, after which it
+// took every slot for occupied and requested nothing more from the origin.
+BOOST_AUTO_TEST_CASE(a_restarted_fetch_ignores_pieces_requested_before)
 {
     asio::io_context ioc;
-    SpoilingOrigin   origin;
+    CorruptingOrigin origin;
     FakeServer       server;
     const Endpoint   at = FreeEndpoint();
     const Endpoint   by = FreeEndpoint();
@@ -313,25 +313,25 @@
     BOOST_REQUIRE(box.Listen(at).has_value());
     BOOST_REQUIRE(neighbour.Listen(by).has_value());
     neighbour.SetPeers({{at, "dc-1"}});
-    box.SetOrigin({at, 0, 0}); // the fake doesn't look at it
+    box.SetOrigin({at, 0, 0}); // not used by the fake origin
     box.SetModel("m");
-    box.Want(1);
-    wire::HaveUpdateT news; // of nothing new: it only makes the box look at what to fetch next
-    news.digest         = VersionName("m", 1);
+    box.StartFetch(1);
+    wire::HaveUpdateT update; // without new pieces: it only makes the box look at what to fetch next
+    update.digest       = VersionName("m", 1);
     const TimePoint end = Now() + seconds(30); // only a hang reaches it
-    while (!box.Whole() && Now() < end)
+    while (!box.IsComplete() && Now() < end)
     {
-        neighbour.Broadcast(news);
+        neighbour.Broadcast(update);
         ioc.run_for(milliseconds(1));
     }
-    BOOST_REQUIRE(box.Whole());
+    BOOST_REQUIRE(box.IsComplete());
     BOOST_TEST(origin.m_Lists.load() == 2);
-    BOOST_TEST(origin.m_Reads.load() == 7 + 1 + static_cast<int>(kPieces)); // until the list was doubted; one more spoilt; each once
+    BOOST_TEST(origin.m_Reads.load() == 7 + 1 + static_cast<int>(kPieces)); // until the list became suspect; one more corrupt piece; each piece once
     for (uint32_t n = 0; n < kPieces; n++)
         BOOST_TEST((*box.Find(1)->m_Pieces[n] == PieceOf(1, n)));
 }
 
-BOOST_AUTO_TEST_CASE(a_dark_origin_is_waited_for)
+BOOST_AUTO_TEST_CASE(an_unreachable_origin_is_retried)
 {
     Boxes boxes(2);
     boxes.m_Origin.m_Down = true;
@@ -341,20 +341,20 @@
     BOOST_TEST(boxes.AllHold(1));
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_server_starts_again_from_what_lies_there_and_bad_pieces_are_replaced)
+BOOST_AUTO_TEST_CASE(a_restarted_server_starts_from_its_staged_pieces_and_corrupt_ones_are_replaced)
 {
     Boxes boxes(1);
     boxes.Start();
     BOOST_TEST(boxes.AllHold(1));
     const int reads = boxes.m_Origin.m_Reads.load();
-    boxes.m_Boxes[0]->m_Server.Rot(4);
+    boxes.m_Boxes[0]->m_Server.CorruptStaged(4);
     boxes.m_Boxes[0]->m_Server.Restart();
     BOOST_TEST(boxes.AllHold(1));
     BOOST_TEST(boxes.StartedWhole());
     BOOST_TEST(boxes.m_Origin.m_Reads.load() == reads);
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_agent_takes_what_lies_at_its_server)
+BOOST_AUTO_TEST_CASE(a_restarted_agent_uses_the_pieces_staged_at_its_server)
 {
     Boxes boxes(1);
     boxes.m_Boxes[0]->m_Server.Stage(1);
@@ -371,22 +371,22 @@
     BOOST_TEST(boxes.AllHold(1));
 }
 
-// Before a start is ordered the server is drained for a while: its last requests may end. Whether any is there was read from the newest report, which
-// may be older than the drain: a request that came after it, while routers still sent some, wasn't seen, and the order cut it off at once. Here it
-// ends well within the time that the drain may take.
+// Guards against a start order that cuts off a running request. The server is drained before the order, and the newest report decided whether
+// requests were left. That report could be older than the drain: a request that arrived after it, while routers still sent some, was missed and cut
+// off. Here the request ends well within the drain timeout.
 BOOST_AUTO_TEST_CASE(a_request_that_came_after_the_last_report_is_not_cut_off_by_an_order)
 {
     Boxes       boxes(1);
     FakeServer& server = boxes.m_Boxes[0]->m_Server;
     server.Stage(1);
-    server.m_Held        = 1;
-    server.m_ReportTakes = milliseconds(100);
-    server.m_LastCaller  = milliseconds(200);
+    server.m_Held             = 1;
+    server.m_ReportTakes      = milliseconds(100);
+    server.m_LastRequestTakes = milliseconds(200);
     boxes.Start();
-    boxes.m_Boxes[0]->Named(2);
+    boxes.m_Boxes[0]->Declare(2);
     BOOST_TEST(boxes.AllHold(2));
     std::lock_guard lock(server.m_Mutex);
-    BOOST_TEST(server.m_CutOff == 0);
+    BOOST_TEST(server.m_CancelledRequests == 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_box_with_a_dead_server_orders_nothing_and_starts_when_it_is_back)
@@ -403,7 +403,7 @@
     BOOST_TEST(boxes.AllHold(1));
 }
 
-BOOST_AUTO_TEST_CASE(routers_hear_load_reports_of_the_boxes_they_ask)
+BOOST_AUTO_TEST_CASE(routers_receive_load_reports_of_the_boxes_they_ask)
 {
     Boxes boxes(1);
     boxes.m_Boxes[0]->m_Server.Stage(1);
@@ -421,7 +421,7 @@
     listener.SetBoxes({{boxes.m_Boxes[0]->m_At, true, 1}});
     router.Run();
     BOOST_TEST(Eventually([&] { return serving.load() > 0; }));
-    // Bytes that are no report change nothing.
+    // Bytes that are not a report are ignored.
     asio::io_context ioc;
     udp::socket      stray(ioc, udp::endpoint(udp::v4(), 0));
     stray.send_to(asio::buffer("not a frame", 11), udp::endpoint(boxes.m_Boxes[0]->m_At.m_Address, boxes.m_Boxes[0]->m_At.m_Port));
@@ -430,36 +430,36 @@
     router.Stop();
 }
 
-BOOST_AUTO_TEST_CASE(a_report_tells_what_was_named_and_how_long_ago)
+BOOST_AUTO_TEST_CASE(a_report_contains_declared_versions_and_their_ages)
 {
     asio::io_context ioc;
     const Endpoint   box = FreeEndpoint();
     LoadPublisher    publisher(ioc, "dc-1");
-    LoadReport       heard;
-    LoadListener     listener(ioc, {"router", "dc-1"}, [&](const asio::ip::address&, const LoadReport& r) { heard = r; });
-    LoadReport       told;
-    told.m_Weights = 1;
-    told.m_Named   = {{2, -1}, {3, 1234}};
+    LoadReport       received;
+    LoadListener     listener(ioc, {"router", "dc-1"}, [&](const asio::ip::address&, const LoadReport& r) { received = r; });
+    LoadReport       sent;
+    sent.m_Weights = 1;
+    sent.m_Named   = {{2, -1}, {3, 1234}};
     BOOST_REQUIRE(publisher.Listen(box).has_value());
     BOOST_REQUIRE(listener.Listen(FreeEndpoint()).has_value());
     listener.SetBoxes({{box, true, 1}});
-    for (int i = 0; i < 2000 && heard.m_Weights == 0; i++)
+    for (int i = 0; i < 2000 && received.m_Weights == 0; i++)
     {
         ioc.run_for(milliseconds(10));
-        publisher.Publish(told);
+        publisher.Publish(sent);
     }
-    BOOST_TEST(heard.m_Weights == 1u);
-    BOOST_TEST((heard.m_Named == told.m_Named));
+    BOOST_TEST(received.m_Weights == 1u);
+    BOOST_TEST((received.m_Named == sent.m_Named));
 }
 
-BOOST_AUTO_TEST_CASE(a_router_tells_the_boxes_at_once_what_was_named_and_how_long_ago)
+BOOST_AUTO_TEST_CASE(a_router_sends_declared_versions_and_their_ages_to_boxes_at_once)
 {
     asio::io_context         ioc;
     const Endpoint           box = FreeEndpoint();
     LoadPublisher            publisher(ioc, "dc-1");
     LoadListener             listener(ioc, {"router", "dc-1"}, [](const asio::ip::address&, const LoadReport&) {});
-    std::vector<ModelNaming> heard;
-    publisher.SetOnNamed([&](const ModelNaming& n) { heard.push_back(n); });
+    std::vector<ModelNaming> received;
+    publisher.SetOnNamed([&](const ModelNaming& n) { received.push_back(n); });
     BOOST_REQUIRE(publisher.Listen(box).has_value());
     BOOST_REQUIRE(listener.Listen(FreeEndpoint()).has_value());
     listener.SetBoxes({{box, true, 1}});
@@ -471,28 +471,28 @@
     first.m_Version = 2;
     ModelNaming second{"loans", "n", 5, named_at, Endpoint{asio::ip::make_address("10.1.2.3"), 8000}, 9.5, 48};
     listener.SetNamed({first, second});
-    for (int i = 0; i < 2000 && heard.size() < 2; i++)
+    for (int i = 0; i < 2000 && received.size() < 2; i++)
         ioc.run_for(milliseconds(10));
-    BOOST_REQUIRE(heard.size() >= 2u);
-    BOOST_TEST(heard[0].m_Model == "m");
-    BOOST_TEST(heard[0].m_Version == 2u);
-    BOOST_TEST((heard[0].m_At == TimePoint{})); // at an unknown time
-    BOOST_TEST(heard[1].m_Model == "n");
-    BOOST_TEST((heard[1].m_At > named_at - milliseconds(2)));
-    BOOST_TEST((heard[1].m_At < named_at + seconds(2)));
-    BOOST_TEST(!heard[0].m_Origin.has_value());
-    BOOST_REQUIRE(heard[1].m_Origin.has_value());
-    BOOST_TEST(heard[1].m_Origin->ToString() == "10.1.2.3:8000");
-    BOOST_TEST(heard[1].m_OriginMbps == 9.5);
-    BOOST_TEST(heard[1].m_OriginConnections == 48u);
-    BOOST_TEST(heard[1].m_Service == "loans");
-    BOOST_TEST(heard[0].m_Declared == 41u);
-    BOOST_TEST(heard[1].m_Declared == 41u);
+    BOOST_REQUIRE(received.size() >= 2u);
+    BOOST_TEST(received[0].m_Model == "m");
+    BOOST_TEST(received[0].m_Version == 2u);
+    BOOST_TEST((received[0].m_At == TimePoint{})); // unknown time
+    BOOST_TEST(received[1].m_Model == "n");
+    BOOST_TEST((received[1].m_At > named_at - milliseconds(2)));
+    BOOST_TEST((received[1].m_At < named_at + seconds(2)));
+    BOOST_TEST(!received[0].m_Origin.has_value());
+    BOOST_REQUIRE(received[1].m_Origin.has_value());
+    BOOST_TEST(received[1].m_Origin->ToString() == "10.1.2.3:8000");
+    BOOST_TEST(received[1].m_OriginMbps == 9.5);
+    BOOST_TEST(received[1].m_OriginConnections == 48u);
+    BOOST_TEST(received[1].m_Service == "loans");
+    BOOST_TEST(received[0].m_Declared == 41u);
+    BOOST_TEST(received[1].m_Declared == 41u);
 }
 
-BOOST_AUTO_TEST_CASE(a_link_that_turns_out_to_be_narrow_soon_has_few_pieces_on_the_way)
+BOOST_AUTO_TEST_CASE(a_link_that_proves_narrow_soon_carries_few_pieces_at_once)
 {
-    constexpr int kPieceMs = 216; // of 24 KiB at an eighth of the declared link
+    constexpr int kPieceMs = 216; // transmission time of 24 KiB at an eighth of the declared bandwidth, ms
     unsigned      slots    = kPieceSlotsFirst;
     unsigned      most     = 0;
     for (int i = 0; i < 12; i++)
@@ -500,43 +500,43 @@
         most  = std::max(most, slots);
         slots = NextPieceSlots(slots, milliseconds(kPieceMs * static_cast<int>(slots)));
     }
-    BOOST_TEST(most * kPieceMs < 700u); // the longest wait of a live request behind pieces, ms
+    BOOST_TEST(most * kPieceMs < 700u); // longest wait of a live request behind pieces, ms
     BOOST_TEST(slots <= 2u);
     for (int i = 0; i < 12; i++)
         slots = NextPieceSlots(slots, milliseconds(100));
     BOOST_TEST(slots == kPieceSlotsMax);
 }
 
-BOOST_AUTO_TEST_CASE(a_narrow_link_holds_one_piece_at_a_time)
+BOOST_AUTO_TEST_CASE(a_narrow_link_carries_one_piece_at_a_time)
 {
-    constexpr int kPieceMs = 216; // of 24 KiB at an eighth of the declared link
+    constexpr int kPieceMs = 216; // transmission time of 24 KiB at an eighth of the declared bandwidth, ms
     unsigned      slots    = kPieceSlotsMax;
     for (int i = 0; i < 12; i++)
         slots = NextPieceSlots(slots, milliseconds(kPieceMs * static_cast<int>(slots)));
     for (int i = 0; i < 12; i++)
     {
-        BOOST_TEST(slots == 1u); // two of them would be half a second for a live request
+        BOOST_TEST(slots == 1u); // with two, a live request would wait for half a second
         slots = NextPieceSlots(slots, milliseconds(kPieceMs * static_cast<int>(slots)));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_link_is_told_as_slow_while_pieces_take_long_on_it)
+BOOST_AUTO_TEST_CASE(a_link_counts_as_slow_while_pieces_take_long_on_it)
 {
     const TimePoint start = TimePoint{} + seconds(100);
-    LinkPace        pace;
-    BOOST_TEST(pace.Value(start) == 1.0);
+    LinkSlowdown    slowdown;
+    BOOST_TEST(slowdown.Value(start) == 1.0);
     for (int i = 0; i < 6; i++)
-        pace.OnPiece(milliseconds(120), milliseconds(276), start); // eight at once on a link as declared
-    BOOST_TEST(pace.Value(start) == 1.0);
+        slowdown.OnPiece(milliseconds(120), milliseconds(276), start); // eight at a time on a link as fast as declared
+    BOOST_TEST(slowdown.Value(start) == 1.0);
     for (int i = 0; i < 6; i++)
-        pace.OnPiece(milliseconds(800), milliseconds(110), start);
-    BOOST_TEST(pace.Value(start) > 4.0);
-    BOOST_TEST(pace.Value(start + seconds(5)) == 1.0); // nothing is fetched any more
-    pace.OnPiece(milliseconds(120), milliseconds(276), start + seconds(9));
-    BOOST_TEST(pace.Value(start + seconds(9)) == 1.0); // the next fetch starts afresh
+        slowdown.OnPiece(milliseconds(800), milliseconds(110), start);
+    BOOST_TEST(slowdown.Value(start) > 4.0);
+    BOOST_TEST(slowdown.Value(start + seconds(5)) == 1.0); // no fetch is in progress any more
+    slowdown.OnPiece(milliseconds(120), milliseconds(276), start + seconds(9));
+    BOOST_TEST(slowdown.Value(start + seconds(9)) == 1.0); // the next fetch starts with a new estimate
 }
 
-BOOST_AUTO_TEST_CASE(a_list_of_digests_from_a_neighbour_with_false_numbers_is_refused)
+BOOST_AUTO_TEST_CASE(a_list_of_digests_with_invalid_numbers_is_refused)
 {
     BOOST_TEST(ListFromJson(R"({"version":2,"piece_bytes":24576,"digests":["aa"]})").has_value());
     for (const std::string text :
