--- a/fuzz/fuzz_manifest.cpp
+++ b/fuzz/fuzz_manifest.cpp
@@ -11,7 +11,7 @@
         return 0;
     uint64_t covered = 0;
     for (uint32_t c = 0; c < m.value()->m_ChunkCount; c++)
-        covered += PlaceOf(*m.value(), c).m_Length;
+        covered += LocateChunk(*m.value(), c).m_Length;
     if (covered != m.value()->m_Size)
         std::abort();
     return 0;
--- a/src/external/weight_store.h
+++ b/src/external/weight_store.h
@@ -13,9 +13,9 @@
 class WeightStore
 {
 public:
-    virtual ~WeightStore()                                                                                                             = default;
-    virtual awaitable<Result<std::string>>          ReadManifest(std::string digest, TimePoint deadline)                               = 0;
-    virtual awaitable<Result<std::vector<uint8_t>>> ReadChunk(std::string digest, std::string shard, ChunkPlace p, TimePoint deadline) = 0;
+    virtual ~WeightStore()                                                                                                                = default;
+    virtual awaitable<Result<std::string>>          ReadManifest(std::string digest, TimePoint deadline)                                  = 0;
+    virtual awaitable<Result<std::vector<uint8_t>>> ReadChunk(std::string digest, std::string shard, ChunkLocation p, TimePoint deadline) = 0;
 };
 
 std::unique_ptr<WeightStore> MakeHttpWeightStore(Endpoint at);
--- a/src/external/weight_store_http.cpp
+++ b/src/external/weight_store_http.cpp
@@ -26,7 +26,7 @@
         co_return std::move(res.value().m_Body);
     }
 
-    awaitable<Result<std::vector<uint8_t>>> ReadChunk(std::string digest, std::string shard, ChunkPlace p, TimePoint deadline) override
+    awaitable<Result<std::vector<uint8_t>>> ReadChunk(std::string digest, std::string shard, ChunkLocation p, TimePoint deadline) override
     {
         HttpRequest req;
         req.m_Target = "/v1/weights/" + digest + "/" + shard;
--- a/src/request/agent_serve.cpp
+++ b/src/request/agent_serve.cpp
@@ -238,7 +238,7 @@
         call->m_Sent += bytes.size();
         call->m_Credit.fetch_sub(static_cast<int64_t>(bytes.size()));
         if (m_Weights != nullptr)
-            m_Weights->ChargeLive(bytes.size());
+            m_Weights->ChargeAnswerBytes(bytes.size());
     }
     End(*call, Verdict_Ran, true, nullptr);
 }
--- a/src/version/activation.cpp
+++ b/src/version/activation.cpp
@@ -16,10 +16,10 @@
 {
     if (o.m_Fencing < m_Fencing)
         return OrderOutcome_Stale;
-    if (o.m_Fencing == m_Fencing && o.m_Id <= m_LastOrder)
+    if (o.m_Fencing == m_Fencing && o.m_Id <= m_LastOrderId)
         return OrderOutcome_Done; // repeated, or overtaken by a later order of the same controller
-    m_Fencing   = o.m_Fencing;
-    m_LastOrder = o.m_Id;
+    m_Fencing     = o.m_Fencing;
+    m_LastOrderId = o.m_Id;
     switch (o.m_Kind)
     {
     case OrderKind_Prepare:
@@ -39,8 +39,8 @@
 {
     if (fencing <= m_Fencing)
         return;
-    m_Fencing   = fencing;
-    m_LastOrder = 0;
+    m_Fencing     = fencing;
+    m_LastOrderId = 0;
 }
 
 void Activation::Prepare(const Order& o)
@@ -64,8 +64,8 @@
     if (v.m_State == VersionState_Fetching)
     {
         if (base.empty()) // a later version takes the place of an earlier one that is still on its way
-            std::erase_if(m_WantActive, [&](const std::string& d) { return m_Versions[d].m_Base.empty(); });
-        m_WantActive.push_back(o.m_Digest);
+            std::erase_if(m_DeferredCommits, [&](const std::string& d) { return m_Versions[d].m_Base.empty(); });
+        m_DeferredCommits.push_back(o.m_Digest);
         return;
     }
     if (!base.empty())
@@ -77,10 +77,10 @@
         }
         return; // without its base it stays verified; the controller orders it again once the base serves
     }
-    if (m_LoadSent)
+    if (m_LoadRequested)
     {
         if (m_Pending != o.m_Digest)
-            m_WantActive = {o.m_Digest}; // taken up when the engine has answered
+            m_DeferredCommits = {o.m_Digest}; // taken up when the engine has answered
         return;
     }
     m_Pending = o.m_Digest;
@@ -90,13 +90,14 @@
 void Activation::Unload(const Order& o)
 {
     const auto it = m_Versions.find(o.m_Digest);
-    if (it == m_Versions.end() || o.m_Digest == m_Active || (o.m_Digest == m_Pending && m_LoadSent) || it->second.m_State == VersionState_Loading)
+    if (it == m_Versions.end() || o.m_Digest == m_Active || (o.m_Digest == m_Pending && m_LoadRequested) ||
+        it->second.m_State == VersionState_Loading)
         return;
     if (it->second.m_State == VersionState_Servable) // an adapter in the engine
         return;
     if (m_Pending == o.m_Digest)
         m_Pending.clear();
-    std::erase(m_WantActive, o.m_Digest);
+    std::erase(m_DeferredCommits, o.m_Digest);
     if (it->second.m_State == VersionState_Fetching)
         m_Actions.push_back({ActivationAction_StopFetch, o.m_Digest, {}, m_Fencing});
     m_Actions.push_back({ActivationAction_Drop, o.m_Digest, {}, m_Fencing});
@@ -105,14 +106,14 @@
 
 void Activation::StartPendingLoad()
 {
-    if (m_Pending.empty() || m_LoadSent || m_Running > 0)
+    if (m_Pending.empty() || m_LoadRequested || m_Running > 0)
         return;
     DeactivateAdapters();
     if (!m_Active.empty())
         m_Versions[m_Active].m_State = VersionState_Verified;
     m_Active.clear();
     m_Versions[m_Pending].m_State = VersionState_Loading;
-    m_LoadSent                    = true;
+    m_LoadRequested               = true;
     m_Actions.push_back({ActivationAction_EngineLoad, m_Pending, {}, m_Fencing});
 }
 
@@ -135,15 +136,15 @@
     const auto it = m_Versions.find(digest);
     if (it == m_Versions.end() || it->second.m_State != VersionState_Fetching)
         return;
-    it->second.m_State = VersionState_Verified;
-    const auto want    = std::find(m_WantActive.begin(), m_WantActive.end(), digest);
-    if (want == m_WantActive.end())
+    it->second.m_State  = VersionState_Verified;
+    const auto deferred = std::find(m_DeferredCommits.begin(), m_DeferredCommits.end(), digest);
+    if (deferred == m_DeferredCommits.end())
         return;
-    m_WantActive.erase(want);
-    Order again;
-    again.m_Digest = digest;
-    again.m_Base   = it->second.m_Base;
-    Commit(again);
+    m_DeferredCommits.erase(deferred);
+    Order order;
+    order.m_Digest = digest;
+    order.m_Base   = it->second.m_Base;
+    Commit(order);
 }
 
 void Activation::OnFetchFailed(const std::string& digest, std::string_view error)
@@ -152,18 +153,18 @@
     if (it == m_Versions.end() || it->second.m_State != VersionState_Fetching)
         return;
     Fail(it->second, error);
-    std::erase(m_WantActive, digest);
+    std::erase(m_DeferredCommits, digest);
 }
 
 // Takes up what was committed while the engine was loading, or while chunks were on their way.
-void Activation::CommitWanted()
+void Activation::RunDeferredCommits()
 {
-    const std::vector<std::string> wanted = std::exchange(m_WantActive, {});
-    for (const std::string& digest : wanted)
+    const std::vector<std::string> deferred = std::exchange(m_DeferredCommits, {});
+    for (const std::string& digest : deferred)
     {
-        Order again;
-        again.m_Digest = digest;
-        Commit(again);
+        Order order;
+        order.m_Digest = digest;
+        Commit(order);
     }
 }
 
@@ -179,8 +180,8 @@
         return;
     m_Active = digest;
     m_Pending.clear();
-    m_LoadSent = false;
-    CommitWanted();
+    m_LoadRequested = false;
+    RunDeferredCommits();
 }
 
 void Activation::OnLoadFailed(const std::string& digest, std::string_view error)
@@ -192,11 +193,11 @@
     if (m_Pending != digest)
         return;
     m_Pending.clear();
-    m_LoadSent = false;
-    CommitWanted();
+    m_LoadRequested = false;
+    RunDeferredCommits();
 }
 
-void Activation::OnEngineLost()
+void Activation::OnEngineRestart()
 {
     DeactivateAdapters();
     if (m_Active.empty())
--- a/src/version/activation.h
+++ b/src/version/activation.h
@@ -94,7 +94,7 @@
     void OnFetchFailed(const std::string& digest, std::string_view error);
     void OnLoaded(const std::string& digest, const std::string& confirmed); // `confirmed`: what the engine says it loaded
     void OnLoadFailed(const std::string& digest, std::string_view error);
-    void OnEngineLost(); // the engine restarted: nothing is loaded any more
+    void OnEngineRestart(); // the engine restarted: nothing is loaded any more
 
     bool RequestBegin(const std::string& digest, const std::string& adapter); // false: not servable; true: counts as running
     void RequestEnd();
@@ -112,18 +112,18 @@
     void Unload(const Order& o);
     void StartPendingLoad(); // when nothing runs any more
     void Fail(HeldVersion& v, std::string_view error);
-    void CommitWanted();
+    void RunDeferredCommits();
     void DeactivateAdapters();
 
-    std::map<std::string, HeldVersion> m_Versions;         // by slice digest; Absent ones are not kept
-    std::string                        m_Active;           // version that the engine serves; empty: none
-    std::string                        m_Pending;          // version waiting for running requests to end, or loading; empty: none
-    bool                               m_LoadSent = false; // the engine was asked to load m_Pending
-    std::vector<std::string>           m_WantActive;       // digests committed while still fetching
-    uint64_t                           m_Fencing   = 0;    // never falls
-    uint64_t                           m_LastOrder = 0;    // id of the last order carried out under m_Fencing
-    uint64_t                           m_Running   = 0;    // requests handed to the engine
-    std::vector<ActivationAction>      m_Actions;          // not yet taken
+    std::map<std::string, HeldVersion> m_Versions;              // by slice digest; Absent ones are not kept
+    std::string                        m_Active;                // version that the engine serves; empty: none
+    std::string                        m_Pending;               // version waiting for running requests to end, or loading; empty: none
+    bool                               m_LoadRequested = false; // the engine was asked to load m_Pending
+    std::vector<std::string>           m_DeferredCommits;       // digests committed while still fetching
+    uint64_t                           m_Fencing     = 0;       // never falls
+    uint64_t                           m_LastOrderId = 0;       // id of the last order carried out under m_Fencing
+    uint64_t                           m_Running     = 0;       // requests handed to the engine
+    std::vector<ActivationAction>      m_Actions;               // not yet taken
 };
 
 } // namespace aldervale
--- a/src/version/agent_weights.cpp
+++ b/src/version/agent_weights.cpp
@@ -9,12 +9,12 @@
 namespace
 {
 
-constexpr auto   kLoadTimeout   = seconds(600);
-constexpr auto   kReportEvery   = milliseconds(200);
-constexpr auto   kReportTimeout = milliseconds(1000);
-constexpr size_t kBucketBurst   = 256 * 1024;         // bytes
-constexpr auto   kGroupSilence  = milliseconds(2000); // a member of a replica that is silent this long closes it
-constexpr size_t kWarmMax       = 64;                 // prefixes told in a heartbeat
+constexpr auto   kLoadTimeout      = seconds(600);
+constexpr auto   kReportEvery      = milliseconds(200);
+constexpr auto   kReportTimeout    = milliseconds(1000);
+constexpr size_t kLinkBurstBytes   = 256 * 1024;         // bytes
+constexpr auto   kMemberSilenceMax = milliseconds(2000); // a member of a replica that is silent this long closes it
+constexpr size_t kWarmPrefixesMax  = 64;                 // prefixes told in a heartbeat
 
 ExchangeMode ParseMode(std::string_view name)
 {
@@ -29,20 +29,20 @@
     cfg.m_Mode          = ParseMode(s.m_Mode);
     cfg.m_DownloadSlots = static_cast<unsigned>(s.m_DownloadSlots);
     cfg.m_UploadSlots   = static_cast<unsigned>(s.m_UploadSlots);
-    cfg.m_TakeOver      = milliseconds(s.m_TakeOverMs);
+    cfg.m_TakeOverDelay = milliseconds(s.m_TakeOverMs);
     if (cfg.m_Mode != ExchangeMode_Spread)
-        cfg.m_UploadBudget = 1e9;
+        cfg.m_UploadBudgetCopies = 1e9;
     return cfg;
 }
 
-struct SlicePlace
+struct SlicePosition
 {
-    std::string m_Placement;    // name; empty: none
-    size_t      m_Position = 0; // of this box in its replica
-    size_t      m_Count    = 1; // boxes of a replica
+    std::string m_Placement;           // name; empty: none
+    size_t      m_ReplicaPosition = 0; // of this box in its replica
+    size_t      m_BoxesPerReplica = 1; // boxes of a replica
 };
 
-SlicePlace FindSlicePlace(const ConfigSnapshot& c, const std::string& box, const std::string& dc, std::string_view placement)
+SlicePosition FindSlicePosition(const ConfigSnapshot& c, const std::string& box, const std::string& dc, std::string_view placement)
 {
     const auto p = c.m_Placements.find(placement);
     if (p == c.m_Placements.end())
@@ -76,7 +76,7 @@
     Impl(Daemon& daemon, const WeightsSettings& s, Node& node, WeightStore& store, Engine& engine)
         : m_Daemon(daemon), m_Settings(s), m_Node(node), m_Engine(engine),
           m_Shared(new TransferShared{daemon, node, store, Staging(static_cast<uint64_t>(s.m_StagingMib) << 20),
-                                      LinkBucket(s.m_LinkMibS * 1024 * 1024, kBucketBurst), MakeExchangeConfig(s), s})
+                                      LinkRateLimiter(s.m_LinkMibS * 1024 * 1024, kLinkBurstBytes), MakeExchangeConfig(s), s})
     {
     }
 
@@ -85,7 +85,7 @@
     TransferPtr     FindTransfer(std::string_view slice) const;
     void            RunActions();
     void            BeginFetch(const ActivationAction& a);
-    void            FetchDone(const std::string& slice, const Status& s);
+    void            OnFetchDone(const std::string& slice, const Status& s);
     awaitable<void> LoadIntoEngine(ActivationAction a);
     awaitable<void> ReportLoop();
     awaitable<void> ServeStaging(HttpRequest& req, HttpReply& reply);
@@ -98,19 +98,19 @@
     std::shared_ptr<TransferShared> m_Shared;   //
     std::unique_ptr<HttpServer>     m_StagingServer;
 
-    struct MemberView // another box of this box's replica
+    struct MemberState // another box of this box's replica
     {
-        std::string m_Active;    // slice digest it serves
-        TimePoint   m_HeardAt{}; //
+        std::string m_Active;       // slice digest it serves
+        TimePoint   m_ReceivedAt{}; //
     };
 
-    mutable std::mutex                 m_Mutex;       // guards the members below
-    Activation                         m_Activation;  //
-    std::map<std::string, TransferPtr> m_Transfers;   // by slice digest; same keys as m_Activation.Versions() plus failed ones
-    std::map<std::string, std::string> m_PlacementOf; // placement that ordered a slice
-    EngineReport                       m_Report;      // newest
-    TimePoint                          m_ReportAt{};  //
-    std::map<std::string, MemberView>  m_Members;     // by box
+    mutable std::mutex                 m_Mutex;            // guards the members below
+    Activation                         m_Activation;       //
+    std::map<std::string, TransferPtr> m_Transfers;        // by slice digest; same keys as m_Activation.Versions() plus failed ones
+    std::map<std::string, std::string> m_PlacementBySlice; // placement that ordered a slice
+    EngineReport                       m_Report;           // newest
+    TimePoint                          m_ReportedAt{};     //
+    std::map<std::string, MemberState> m_Members;          // by box
 };
 
 TransferPtr AgentWeights::Impl::FindTransfer(std::string_view slice) const
@@ -140,7 +140,7 @@
         outcome = m_Activation.OnOrder(o);
         fencing = m_Activation.Fencing();
         if (outcome == OrderOutcome_Started && msg.placement() != nullptr)
-            m_PlacementOf[o.m_Digest] = msg.placement()->str();
+            m_PlacementBySlice[o.m_Digest] = msg.placement()->str();
     }
     if (outcome == OrderOutcome_Stale)
         LogEvent(Event_OrderRefused, {{"fencing", o.m_Fencing}, {"highest", fencing}, {"digest", o.m_Digest}});
@@ -179,7 +179,7 @@
                 t->Release();
                 std::lock_guard lock(m_Mutex);
                 m_Transfers.erase(a.m_Digest);
-                m_PlacementOf.erase(a.m_Digest);
+                m_PlacementBySlice.erase(a.m_Digest);
             }
             LogEvent(Event_VersionDropped, {{"digest", a.m_Digest}});
             break;
@@ -201,11 +201,13 @@
     TransferPtr     t;
     TransferPtr     old;
     {
-        std::lock_guard  lock(m_Mutex);
-        const SlicePlace place = FindSlicePlace(*c, m_Daemon.Settings().m_Name, m_Daemon.Settings().m_DataCentre, m_PlacementOf[a.m_Digest]);
-        const bool       whole = WholeDigest(a.m_Digest) == a.m_Digest;
-        t   = std::make_shared<Transfer>(m_Shared, place.m_Placement, a.m_Digest, whole ? 0 : place.m_Position, whole ? 1 : place.m_Count);
-        old = std::exchange(m_Transfers[a.m_Digest], t);
+        std::lock_guard     lock(m_Mutex);
+        const SlicePosition position =
+            FindSlicePosition(*c, m_Daemon.Settings().m_Name, m_Daemon.Settings().m_DataCentre, m_PlacementBySlice[a.m_Digest]);
+        const bool whole = WholeDigest(a.m_Digest) == a.m_Digest;
+        t                = std::make_shared<Transfer>(m_Shared, position.m_Placement, a.m_Digest, whole ? 0 : position.m_ReplicaPosition,
+                                       whole ? 1 : position.m_BoxesPerReplica);
+        old              = std::exchange(m_Transfers[a.m_Digest], t);
     }
     if (old)
     {
@@ -213,10 +215,10 @@
         old->Release();
     }
     LogEvent(Event_VersionFetchStarted, {{"digest", a.m_Digest}});
-    t->Start([self = shared_from_this(), slice = a.m_Digest](const Status& s) { self->FetchDone(slice, s); });
+    t->Start([self = shared_from_this(), slice = a.m_Digest](const Status& s) { self->OnFetchDone(slice, s); });
 }
 
-void AgentWeights::Impl::FetchDone(const std::string& slice, const Status& s)
+void AgentWeights::Impl::OnFetchDone(const std::string& slice, const Status& s)
 {
     {
         std::lock_guard lock(m_Mutex);
@@ -264,9 +266,9 @@
             std::lock_guard lock(m_Mutex);
             const bool      restarted = m_Report.m_Boot != 0 && report.value().m_Boot != m_Report.m_Boot;
             m_Report                  = std::move(report.value());
-            m_ReportAt                = Now();
+            m_ReportedAt              = Now();
             if (restarted)
-                m_Activation.OnEngineLost();
+                m_Activation.OnEngineRestart();
         }
         RunActions();
         co_await SleepFor(kReportEvery);
@@ -304,7 +306,7 @@
         path.starts_with(kPrefix) && slash > kPrefix.size() ? FindTransfer(path.substr(kPrefix.size(), slash - kPrefix.size())) : nullptr;
     const ManifestPtr m = t ? t->GetManifest() : nullptr;
     if (m && path.substr(slash + 1) == "manifest")
-        res = {200, {{"Content-Type", "application/json"}}, t->WholeText()};
+        res = {200, {{"Content-Type", "application/json"}}, t->WholeManifestText()};
     for (size_t s = 0; m && s < m->m_Shards.size(); s++)
     {
         const ManifestShard& shard = m->m_Shards[s];
@@ -339,23 +341,23 @@
 {
     if (WholeDigest(slice) == slice)
         return true;
-    const ConfigPtr  c    = m_Node.Config();
-    const auto       name = m_PlacementOf.find(slice);
-    const SlicePlace place =
-        FindSlicePlace(*c, m_Daemon.Settings().m_Name, m_Daemon.Settings().m_DataCentre, name == m_PlacementOf.end() ? "" : name->second);
-    const std::vector<std::string> boxes = AssignBoxes(*c, place.m_Placement, m_Daemon.Settings().m_DataCentre);
+    const ConfigPtr     c    = m_Node.Config();
+    const auto          name = m_PlacementBySlice.find(slice);
+    const SlicePosition position =
+        FindSlicePosition(*c, m_Daemon.Settings().m_Name, m_Daemon.Settings().m_DataCentre, name == m_PlacementBySlice.end() ? "" : name->second);
+    const std::vector<std::string> boxes = AssignBoxes(*c, position.m_Placement, m_Daemon.Settings().m_DataCentre);
     const auto                     own   = std::find(boxes.begin(), boxes.end(), m_Daemon.Settings().m_Name);
     if (own == boxes.end())
         return false;
-    const size_t first = static_cast<size_t>(own - boxes.begin()) / place.m_Count * place.m_Count;
-    for (size_t i = 0; i < place.m_Count; i++)
+    const size_t first = static_cast<size_t>(own - boxes.begin()) / position.m_BoxesPerReplica * position.m_BoxesPerReplica;
+    for (size_t i = 0; i < position.m_BoxesPerReplica; i++)
     {
         const std::string& member = boxes[first + i];
         if (member == m_Daemon.Settings().m_Name)
             continue;
         const auto view = m_Members.find(member);
-        if (view == m_Members.end() || view->second.m_Active != SliceDigest(WholeDigest(slice), i, place.m_Count) ||
-            Now() - view->second.m_HeardAt > kGroupSilence)
+        if (view == m_Members.end() || view->second.m_Active != SliceDigest(WholeDigest(slice), i, position.m_BoxesPerReplica) ||
+            Now() - view->second.m_ReceivedAt > kMemberSilenceMax)
             return false;
     }
     return true;
@@ -431,7 +433,7 @@
     }
     for (const TransferPtr& t : candidates)
         if (answer.json.empty())
-            answer.json = t->WholeText();
+            answer.json = t->WholeManifestText();
     answer.found = !answer.json.empty();
     link->Send(EncodeFrame(exchange, answer));
 }
@@ -517,7 +519,7 @@
     return m_Impl->m_Activation.Running();
 }
 
-void AgentWeights::ChargeLive(size_t bytes)
+void AgentWeights::ChargeAnswerBytes(size_t bytes)
 {
     m_Impl->m_Shared->m_Link.Reserve(static_cast<double>(bytes));
 }
@@ -525,17 +527,17 @@
 void AgentWeights::Describe(wire::AgentStateT& out, bool brief) const
 {
     std::lock_guard lock(m_Impl->m_Mutex);
-    out.active           = m_Impl->m_Activation.Active();
-    out.group_closed     = !out.active.empty() && !m_Impl->GroupOpen(out.active);
-    out.fencing          = m_Impl->m_Activation.Fencing();
-    out.running          = m_Impl->m_Report.m_Running;
-    out.queued           = m_Impl->m_Report.m_Queued;
-    out.kv_free          = static_cast<float>(m_Impl->m_Report.m_KvFree);
-    out.load_age_ms      = m_Impl->m_Report.m_AgeMs + static_cast<uint32_t>(m_Impl->m_ReportAt == TimePoint{} ? 0 : ToMs(Now() - m_Impl->m_ReportAt));
-    out.staging_reserved = m_Impl->m_Shared->m_Staging.Reserved();
-    out.staging_max      = m_Impl->m_Shared->m_Staging.Max();
+    out.active       = m_Impl->m_Activation.Active();
+    out.group_closed = !out.active.empty() && !m_Impl->GroupOpen(out.active);
+    out.fencing      = m_Impl->m_Activation.Fencing();
+    out.running      = m_Impl->m_Report.m_Running;
+    out.queued       = m_Impl->m_Report.m_Queued;
+    out.kv_free      = static_cast<float>(m_Impl->m_Report.m_KvFree);
+    out.load_age_ms  = m_Impl->m_Report.m_AgeMs + static_cast<uint32_t>(m_Impl->m_ReportedAt == TimePoint{} ? 0 : ToMs(Now() - m_Impl->m_ReportedAt));
+    out.staging_reserved = m_Impl->m_Shared->m_Staging.ReservedBytes();
+    out.staging_max      = m_Impl->m_Shared->m_Staging.MaxBytes();
     const auto& warm     = m_Impl->m_Report.m_WarmPrefixes;
-    out.warm.assign(warm.begin(), warm.begin() + static_cast<std::ptrdiff_t>(std::min(warm.size(), kWarmMax)));
+    out.warm.assign(warm.begin(), warm.begin() + static_cast<std::ptrdiff_t>(std::min(warm.size(), kWarmPrefixesMax)));
     out.brief = brief;
     if (brief)
         return;
--- a/src/version/agent_weights.h
+++ b/src/version/agent_weights.h
@@ -63,7 +63,7 @@
     void         EndRequest();
     bool         HoldsSlice() const; // serves or fetches a part of a replica over several boxes
     uint64_t     RunningRequests() const;
-    void         ChargeLive(size_t bytes);                           // bytes of live answers on the box's link
+    void         ChargeAnswerBytes(size_t bytes);                    // bytes of live answers on the box's link
     void         Describe(wire::AgentStateT& out, bool brief) const; // brief: without versions
     bool         Fetching() const;                                   // some version is on its way
     json::object DescribeJson() const;
--- a/src/version/exchange.cpp
+++ b/src/version/exchange.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-constexpr auto kWaitedMax  = milliseconds(400); // what a neighbour told of its queue says little after this long
-constexpr auto kWaitedStep = milliseconds(50);  // waits that differ by less count as the same
+constexpr auto kQueueWaitMaxAge = milliseconds(400); // what a neighbour told of its queue says little after this long
+constexpr auto kQueueWaitStep   = milliseconds(50);  // waits that differ by less count as the same
 
 } // namespace
 
 Exchange::Exchange(ManifestPtr manifest, const ExchangeConfig& cfg, std::vector<std::string> members, std::string self, std::vector<uint32_t> present)
-    : m_Manifest(std::move(manifest)), m_Config(cfg), m_Salt(Hash64(self))
+    : m_Manifest(std::move(manifest)), m_Config(cfg), m_SelfHash(Hash64(self))
 {
     const uint32_t n = m_Manifest->m_ChunkCount;
     for (const size_t i : RendezvousOrder(m_Manifest->m_Digest, members))
@@ -24,12 +24,12 @@
         if (m_Members[i] == self)
             m_Self = i;
     m_Have.assign(n, false);
-    m_Flying.assign(n, 0);
+    m_ChunkRequests.assign(n, 0);
     m_Holders.assign(n, 0);
-    m_Willing.assign(n, 0);
-    m_Order.resize(n);
+    m_HoldersInBudget.assign(n, 0);
+    m_TieBreaks.resize(n);
     for (uint32_t c = 0; c < n; c++)
-        m_Order[c] = TieBreak(c);
+        m_TieBreaks[c] = TieBreak(c);
     for (const uint32_t c : present)
     {
         BOOST_ASSERT_MSG(c < n, "present chunk out of range");
@@ -40,7 +40,7 @@
 
 uint64_t Exchange::TieBreak(uint32_t chunk) const
 {
-    return (chunk + 1) * 0x9E3779B97F4A7C15ull ^ m_Salt * 0xC2B2AE3D27D4EB4Full; // Fibonacci hashing; salted by the box
+    return (chunk + 1) * 0x9E3779B97F4A7C15ull ^ m_SelfHash * 0xC2B2AE3D27D4EB4Full; // Fibonacci hashing; salted by the box
 }
 
 //-----------------------------------------------------------------------------
@@ -53,7 +53,7 @@
         return;
     p.m_Have[chunk] = true;
     m_Holders[chunk]++;
-    m_Willing[chunk] += p.m_Spent ? 0 : 1;
+    m_HoldersInBudget[chunk] += p.m_OverBudget ? 0 : 1;
 }
 
 void Exchange::RemoveHave(Peer& p, uint32_t chunk)
@@ -62,7 +62,7 @@
         return;
     p.m_Have[chunk] = false;
     m_Holders[chunk]--;
-    m_Willing[chunk] -= p.m_Spent ? 0 : 1;
+    m_HoldersInBudget[chunk] -= p.m_OverBudget ? 0 : 1;
 }
 
 void Exchange::RemoveAllHave(Peer& p)
@@ -71,18 +71,18 @@
         RemoveHave(p, c);
 }
 
-void Exchange::MarkSpent(Peer& p)
+void Exchange::MarkOverBudget(Peer& p)
 {
-    if (p.m_Spent)
+    if (p.m_OverBudget)
         return;
     for (uint32_t c = 0; c < p.m_Have.size(); c++)
-        m_Willing[c] -= p.m_Have[c] ? 1 : 0;
-    p.m_Spent = true;
+        m_HoldersInBudget[c] -= p.m_Have[c] ? 1 : 0;
+    p.m_OverBudget = true;
 }
 
-bool Exchange::Askable(const Peer& p, uint32_t chunk) const
+bool Exchange::MayAsk(const Peer& p, uint32_t chunk) const
 {
-    return p.m_Have[chunk] && (!p.m_Spent || m_Willing[chunk] == 0);
+    return p.m_Have[chunk] && (!p.m_OverBudget || m_HoldersInBudget[chunk] == 0);
 }
 
 void Exchange::OnPeerUp(const std::string& peer, bool same_data_centre)
@@ -94,7 +94,7 @@
     p.m_Up = true;
     p.m_Have.assign(m_Manifest->m_ChunkCount, false);
     p.m_PausedUntil = {};
-    p.m_Spent       = false;
+    p.m_OverBudget  = false;
 }
 
 void Exchange::OnPeerDown(const std::string& peer)
@@ -109,7 +109,7 @@
 void Exchange::OnHave(const std::string& peer, std::span<const uint32_t> added, bool whole)
 {
     const auto it = m_Peers.find(peer);
-    if (it == m_Peers.end() || !it->second.m_Up || it->second.m_Aside)
+    if (it == m_Peers.end() || !it->second.m_Up || it->second.m_Excluded)
         return;
     Peer& p = it->second;
     for (const uint32_t c : added)
@@ -125,34 +125,34 @@
     return it != m_Peers.end() && it->second.m_Up && it->second.m_Have[chunk];
 }
 
-void Exchange::OnMemberGone(const std::string& member, bool gone)
+void Exchange::OnMemberDead(const std::string& member, bool dead)
 {
     const auto it = std::find(m_Members.begin(), m_Members.end(), member);
     if (it == m_Members.end())
         return;
     const size_t i = static_cast<size_t>(it - m_Members.begin());
-    if (gone && i != m_Self)
-        m_GoneMembers.insert(i);
+    if (dead && i != m_Self)
+        m_DeadMembers.insert(i);
     else
-        m_GoneMembers.erase(i);
+        m_DeadMembers.erase(i);
 }
 
 void Exchange::SetImporters(std::vector<std::string> members)
 {
-    m_Importers.clear();
+    m_ImportMembers.clear();
     for (const size_t i : RendezvousOrder(m_Manifest->m_Digest, members))
     {
-        if (Hash64(members[i]) == m_Salt)
-            m_ImportSelf = m_Importers.size();
-        m_Importers.push_back(members[i]);
+        if (Hash64(members[i]) == m_SelfHash)
+            m_ImportSelf = m_ImportMembers.size();
+        m_ImportMembers.push_back(members[i]);
     }
-    m_FarSince.assign(m_Have.size(), TimePoint{});
+    m_RemoteSince.assign(m_Have.size(), TimePoint{});
 }
 
 // With importers, a chunk that some box here holds isn't taken from elsewhere, even while that box is busy.
-bool Exchange::HeldNear(uint32_t chunk) const
+bool Exchange::HeldInDataCentre(uint32_t chunk) const
 {
-    if (m_Importers.empty())
+    if (m_ImportMembers.empty())
         return false;
     return std::any_of(m_Peers.begin(), m_Peers.end(),
                        [&](const auto& item) { return item.second.m_Up && item.second.m_SameDataCentre && item.second.m_Have[chunk]; });
@@ -160,29 +160,29 @@
 
 bool Exchange::MayImport(uint32_t chunk, TimePoint now)
 {
-    if (m_Importers.empty())
+    if (m_ImportMembers.empty())
         return true;
-    if (m_FarSince[chunk] == TimePoint{})
-        m_FarSince[chunk] = now;
-    const size_t    n    = m_Importers.size();
+    if (m_RemoteSince[chunk] == TimePoint{})
+        m_RemoteSince[chunk] = now;
+    const size_t    n    = m_ImportMembers.size();
     const size_t    rank = (m_ImportSelf + n - chunk % n) % n;
-    const TimePoint due  = m_FarSince[chunk] + static_cast<int>(rank) * m_Config.m_ImportPerRank;
+    const TimePoint due  = m_RemoteSince[chunk] + static_cast<int>(rank) * m_Config.m_ImportRankDelay;
     if (now >= due)
         return true;
     WakeAt(due);
     return false;
 }
 
-bool Exchange::Usable(const Peer& p, TimePoint now) const
+bool Exchange::MayRequestFrom(const Peer& p, TimePoint now) const
 {
-    return p.m_Up && !p.m_Aside && p.m_InFlight < m_Config.m_PerPeer && now >= p.m_PausedUntil;
+    return p.m_Up && !p.m_Excluded && p.m_InFlight < m_Config.m_RequestsPerPeer && now >= p.m_PausedUntil;
 }
 
-unsigned Exchange::SetAside() const
+unsigned Exchange::ExcludedPeers() const
 {
     unsigned n = 0;
     for (const auto& [name, p] : m_Peers)
-        n += p.m_Aside ? 1 : 0;
+        n += p.m_Excluded ? 1 : 0;
     return n;
 }
 
@@ -210,19 +210,19 @@
     if (m_Self == SIZE_MAX) // not in the scope: no share, and no place behind others
         return std::nullopt;
     const std::optional<uint32_t> own = BestOfOwnShare();
-    if (own || m_OriginFlying > 0)
+    if (own || m_OriginInFlight > 0)
         return own;
-    return BestOfOthersShares(now);
+    return BestOfTakeOvers(now);
 }
 
-// The wanted chunk that goes first by m_Order, of `first`, `first` + `stride`, ...
+// The wanted chunk that goes first by m_TieBreaks, of `first`, `first` + `stride`, ...
 std::optional<uint32_t> Exchange::BestOfStride(size_t first, size_t stride) const
 {
     std::optional<uint32_t> best;
     for (size_t i = first; i < m_Have.size(); i += stride)
     {
         const auto c = static_cast<uint32_t>(i);
-        if (WantedFromOrigin(c) && (!best || m_Order[c] < m_Order[*best]))
+        if (WantedFromOrigin(c) && (!best || m_TieBreaks[c] < m_TieBreaks[*best]))
             best = c;
     }
     return best;
@@ -230,7 +230,7 @@
 
 std::optional<uint32_t> Exchange::BestOfOwnShare() const
 {
-    const size_t n = Sharers();
+    const size_t n = PrimaryFetcherCount();
     return m_Self < n ? BestOfStride(m_Self, n) : std::nullopt;
 }
 
@@ -238,17 +238,17 @@
 // own ones are done, the wait before stepping in for others is counted. A slow origin thus delays it by itself.
 TimePoint Exchange::OwnShareDoneAt(TimePoint now)
 {
-    if (!m_OwnOriginDoneAt)
-        m_OwnOriginDoneAt = m_Self < Sharers() ? now : now + m_Config.m_SharersTime;
-    return *m_OwnOriginDoneAt;
+    if (!m_OwnShareDoneAt)
+        m_OwnShareDoneAt = m_Self < PrimaryFetcherCount() ? now : now + m_Config.m_PrimaryFetchTime;
+    return *m_OwnShareDoneAt;
 }
 
 // With n sharers, chunk c starts at member c mod n and goes on with the next sharer. The members behind the sharers come in rounds of n: one
 // in round r stands r places behind the sharer at its own place. Members known dead don't count, so the ones behind them move up. Walking
 // back from the own place gives the chunks of rank 0, 1, ... without looking at all chunks for each.
-std::optional<uint32_t> Exchange::BestOfOthersShares(TimePoint now)
+std::optional<uint32_t> Exchange::BestOfTakeOvers(TimePoint now)
 {
-    const size_t            n     = Sharers();
+    const size_t            n     = PrimaryFetcherCount();
     const size_t            place = m_Self % n;
     const size_t            round = m_Self / n;
     const TimePoint         since = OwnShareDoneAt(now);
@@ -258,53 +258,53 @@
     {
         const size_t first = (place + n - back) % n;
         if (back > 0)
-            rank += m_GoneMembers.contains(first) ? 0 : 1; // live sharers from `first` up to, and without, the own place
-        if (rank >= m_Config.m_OriginRanks)
+            rank += m_DeadMembers.contains(first) ? 0 : 1; // live sharers from `first` up to, and without, the own place
+        if (rank >= m_Config.m_OriginFetchersPerChunk)
             break;
-        const TimePoint due = since + static_cast<int>(rank) * m_Config.m_TakeOver;
+        const TimePoint due = since + static_cast<int>(rank) * m_Config.m_TakeOverDelay;
         if (now < due)
         {
             WakeAt(due);
             continue;
         }
         const std::optional<uint32_t> c = BestOfStride(first, n);
-        if (c && (!best || m_Order[*c] < m_Order[*best]))
+        if (c && (!best || m_TieBreaks[*c] < m_TieBreaks[*best]))
             best = c;
     }
     return best;
 }
 
-size_t Exchange::Sharers() const
+size_t Exchange::PrimaryFetcherCount() const
 {
-    return std::max<size_t>(1, std::min(m_Members.size(), m_Config.m_OriginSharers));
+    return std::max<size_t>(1, std::min(m_Members.size(), m_Config.m_PrimaryFetchers));
 }
 
 bool Exchange::WantedFromOrigin(uint32_t chunk) const
 {
-    return !m_Have[chunk] && m_Flying[chunk] == 0 && m_Holders[chunk] == 0;
+    return !m_Have[chunk] && m_ChunkRequests[chunk] == 0 && m_Holders[chunk] == 0;
 }
 
-bool Exchange::SharesMore() const
+bool Exchange::HasOwnShareLeft() const
 {
     return BestOfOwnShare().has_value();
 }
 
 void Exchange::PickFromOrigin(std::vector<Fetch>& out, TimePoint now)
 {
-    if (m_OriginHeld)
+    if (m_OriginSuspended)
         return;
     if (now < m_OriginPausedUntil)
     {
         WakeAt(m_OriginPausedUntil);
         return;
     }
-    while (m_OriginFlying < m_Config.m_OriginSlots)
+    while (m_OriginInFlight < m_Config.m_OriginSlots)
     {
         const std::optional<uint32_t> best = BestFromOrigin(now);
         if (!best)
             return;
-        m_OriginFlying++;
-        m_Flying[*best]++;
+        m_OriginInFlight++;
+        m_ChunkRequests[*best]++;
         out.push_back({*best, {}, false});
     }
 }
@@ -313,61 +313,61 @@
 {
     if (m_Config.m_Mode == ExchangeMode_OriginOnly)
         return;
-    while (m_DownloadsFlying < m_Config.m_DownloadSlots)
+    while (m_DownloadsInFlight < m_Config.m_DownloadSlots)
     {
         std::vector<std::pair<const std::string*, Peer*>> usable;
         for (auto& [name, p] : m_Peers)
         {
-            if (Usable(p, now))
+            if (MayRequestFrom(p, now))
                 usable.emplace_back(&name, &p);
             else if (p.m_Up && now < p.m_PausedUntil)
                 WakeAt(p.m_PausedUntil);
         }
         std::optional<uint32_t> best;
         const auto              better = [&](uint32_t a, uint32_t b)
-        { return m_Holders[a] != m_Holders[b] ? m_Holders[a] < m_Holders[b] : m_Order[a] < m_Order[b]; };
+        { return m_Holders[a] != m_Holders[b] ? m_Holders[a] < m_Holders[b] : m_TieBreaks[a] < m_TieBreaks[b]; };
         for (uint32_t c = 0; c < m_Have.size(); c++)
         {
-            if (m_Have[c] || m_Flying[c] > 0 || m_Holders[c] == 0 || (best && !better(c, *best)))
+            if (m_Have[c] || m_ChunkRequests[c] > 0 || m_Holders[c] == 0 || (best && !better(c, *best)))
                 continue;
-            bool near = false;
-            bool far  = false;
+            bool local  = false;
+            bool remote = false;
             for (const auto& u : usable)
-                if (Askable(*u.second, c))
-                    (u.second->m_SameDataCentre ? near : far) = true;
-            if (near || (far && !HeldNear(c) && MayImport(c, now)))
+                if (MayAsk(*u.second, c))
+                    (u.second->m_SameDataCentre ? local : remote) = true;
+            if (local || (remote && !HeldInDataCentre(c) && MayImport(c, now)))
                 best = c;
         }
         if (!best)
             return;
         std::pair<const std::string*, Peer*> source{nullptr, nullptr};
         const auto                           cost = [&](const auto& u)
-        { return std::tuple(!u.second->m_SameDataCentre, QueueAt(*u.second, now), Hash64(*u.first, m_Salt + *best)); };
+        { return std::tuple(!u.second->m_SameDataCentre, UploadQueueLength(*u.second, now), Hash64(*u.first, m_SelfHash + *best)); };
         for (const auto& u : usable)
-            if (Askable(*u.second, *best) && (source.second == nullptr || cost(u) < cost(source)))
+            if (MayAsk(*u.second, *best) && (source.second == nullptr || cost(u) < cost(source)))
                 source = u;
         source.second->m_InFlight++;
-        m_DownloadsFlying++;
-        m_Flying[*best]++;
-        out.push_back({*best, *source.first, m_Willing[*best] == 0});
+        m_DownloadsInFlight++;
+        m_ChunkRequests[*best]++;
+        out.push_back({*best, *source.first, m_HoldersInBudget[*best] == 0});
     }
 }
 
 // How full a neighbour's queue of uploads is, in steps of some chunks' time: what it told lately, and what was asked of it since.
-size_t Exchange::QueueAt(const Peer& p, TimePoint now) const
+size_t Exchange::UploadQueueLength(const Peer& p, TimePoint now) const
 {
-    const bool   fresh = p.m_WaitedAt != TimePoint{} && now - p.m_WaitedAt < kWaitedMax;
-    const size_t steps = fresh ? static_cast<size_t>(p.m_Waited / kWaitedStep) : 0;
+    const bool   fresh = p.m_QueueWaitAt != TimePoint{} && now - p.m_QueueWaitAt < kQueueWaitMaxAge;
+    const size_t steps = fresh ? static_cast<size_t>(p.m_QueueWait / kQueueWaitStep) : 0;
     return steps + p.m_InFlight;
 }
 
-void Exchange::OnWaited(const std::string& peer, Duration waited, TimePoint now)
+void Exchange::OnUploadQueueWait(const std::string& peer, Duration wait, TimePoint now)
 {
     const auto it = m_Peers.find(peer);
     if (it == m_Peers.end())
         return;
-    it->second.m_Waited   = waited;
-    it->second.m_WaitedAt = now;
+    it->second.m_QueueWait   = wait;
+    it->second.m_QueueWaitAt = now;
 }
 
 std::vector<Fetch> Exchange::Next(TimePoint now)
@@ -383,9 +383,9 @@
 
 void Exchange::OnChunk(uint32_t chunk, const std::string& peer, ChunkOutcome outcome, TimePoint now)
 {
-    BOOST_ASSERT_MSG(chunk < m_Have.size() && m_Flying[chunk] > 0, "OnChunk() for a chunk that was not in flight");
-    m_Flying[chunk]--;
-    const uint64_t length = PlaceOf(*m_Manifest, chunk).m_Length;
+    BOOST_ASSERT_MSG(chunk < m_Have.size() && m_ChunkRequests[chunk] > 0, "OnChunk() for a chunk that was not in flight");
+    m_ChunkRequests[chunk]--;
+    const uint64_t length = LocateChunk(*m_Manifest, chunk).m_Length;
     if (outcome == ChunkOutcome_Good && !m_Have[chunk])
     {
         m_Have[chunk] = true;
@@ -393,35 +393,35 @@
     }
     if (peer.empty())
     {
-        m_OriginFlying--;
+        m_OriginInFlight--;
         if (outcome == ChunkOutcome_Good)
-            m_BytesOrigin += length;
+            m_BytesFromOrigin += length;
         else
             OnOriginFailed(outcome, now);
         return;
     }
-    m_DownloadsFlying--;
+    m_DownloadsInFlight--;
     Peer& p = m_Peers[peer];
     p.m_InFlight--;
     switch (outcome)
     {
     case ChunkOutcome_Good:
         p.m_Good++;
-        m_BytesPeers += length;
+        m_BytesFromPeers += length;
         return;
     case ChunkOutcome_Corrupt:
         p.m_Corrupt++;
-        if (p.m_Corrupt >= m_Config.m_CorruptMax && p.m_Corrupt > m_Config.m_CorruptShare * (p.m_Corrupt + p.m_Good))
+        if (p.m_Corrupt >= m_Config.m_ExcludeCorruptMin && p.m_Corrupt > m_Config.m_ExcludeCorruptShare * (p.m_Corrupt + p.m_Good))
         {
             RemoveAllHave(p);
-            p.m_Aside = true;
+            p.m_Excluded = true;
         }
         return;
     case ChunkOutcome_Busy:
         p.m_PausedUntil = now + m_Config.m_BusyPause;
         return;
-    case ChunkOutcome_Spent:
-        MarkSpent(p);
+    case ChunkOutcome_OverBudget:
+        MarkOverBudget(p);
         return;
     case ChunkOutcome_Missing:
         if (p.m_Up)
@@ -440,8 +440,8 @@
 void Exchange::OnOriginFailed(ChunkOutcome outcome, TimePoint now)
 {
     m_OriginPausedUntil = now + m_Config.m_OriginPause;
-    if (outcome == ChunkOutcome_Failed && m_OwnOriginDoneAt)
-        m_OwnOriginDoneAt = std::max(*m_OwnOriginDoneAt, now);
+    if (outcome == ChunkOutcome_Failed && m_OwnShareDoneAt)
+        m_OwnShareDoneAt = std::max(*m_OwnShareDoneAt, now);
 }
 
 std::vector<uint32_t> Exchange::HaveList() const
@@ -459,20 +459,20 @@
 
 ChunkOutcome Exchange::AdmitUpload(uint64_t bytes, bool urgent)
 {
-    const double budget = m_Config.m_UploadBudget * static_cast<double>(m_Manifest->m_Size);
+    const double budget = m_Config.m_UploadBudgetCopies * static_cast<double>(m_Manifest->m_Size);
     if (!urgent && static_cast<double>(m_BytesUploaded + bytes) > budget)
-        return ChunkOutcome_Spent;
-    if (m_UploadsFlying >= m_Config.m_UploadSlots)
+        return ChunkOutcome_OverBudget;
+    if (m_UploadsInFlight >= m_Config.m_UploadSlots)
         return ChunkOutcome_Busy;
-    m_UploadsFlying++;
+    m_UploadsInFlight++;
     m_BytesUploaded += bytes;
     return ChunkOutcome_Good;
 }
 
 void Exchange::OnUploadDone(uint64_t bytes, bool sent)
 {
-    BOOST_ASSERT_MSG(m_UploadsFlying > 0, "OnUploadDone() without AdmitUpload()");
-    m_UploadsFlying--;
+    BOOST_ASSERT_MSG(m_UploadsInFlight > 0, "OnUploadDone() without AdmitUpload()");
+    m_UploadsInFlight--;
     if (!sent)
         m_BytesUploaded -= bytes;
 }
--- a/src/version/manifest.cpp
+++ b/src/version/manifest.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-Error Bad(std::string_view field, std::string_view message)
+Error FieldError(std::string_view field, std::string_view message)
 {
     return MakeError(ErrorCode_Corrupt, message, "manifest." + std::string(field));
 }
@@ -22,7 +22,7 @@
     if (v == nullptr && !required)
         return std::string();
     if (v == nullptr || !v->is_string())
-        return Bad(key, "expected a string");
+        return FieldError(key, "expected a string");
     return std::string(v->as_string());
 }
 
@@ -30,17 +30,17 @@
 {
     const json::value* v = o.if_contains(key);
     if (v == nullptr || !v->is_int64() || v->as_int64() < 0)
-        return Bad(key, "expected a count");
+        return FieldError(key, "expected a count");
     const uint64_t n = static_cast<uint64_t>(v->as_int64());
     if (n < min || n > max)
-        return Bad(key, "out of range");
+        return FieldError(key, "out of range");
     return n;
 }
 
 Result<ManifestShard> ReadShard(const json::value& v, const Manifest& m)
 {
     if (!v.is_object())
-        return Bad("shards", "expected objects");
+        return FieldError("shards", "expected objects");
     ManifestShard shard;
     auto          name = ReadText(v.as_object(), "name", true);
     auto          size = ReadCount(v.as_object(), "size", 1, kChunksMax * kChunkSizeMax);
@@ -49,21 +49,21 @@
     if (!size)
         return size.error();
     if (name.value().empty() || name.value().find('/') != std::string::npos || name.value()[0] == '.')
-        return Bad("shards.name", "expected a file name");
+        return FieldError("shards.name", "expected a file name");
     shard.m_Name              = name.value();
     shard.m_Size              = size.value();
-    shard.m_First             = m.m_ChunkCount;
+    shard.m_FirstChunk        = m.m_ChunkCount;
     const json::value* chunks = v.as_object().if_contains("chunks");
     if (chunks == nullptr || !chunks->is_array())
-        return Bad("shards.chunks", "expected an array");
-    const uint64_t wanted = (shard.m_Size + m.m_ChunkSize - 1) / m.m_ChunkSize;
-    if (chunks->as_array().size() != wanted || wanted + m.m_ChunkCount > kChunksMax)
-        return Bad("shards.chunks", "count doesn't match the size");
+        return FieldError("shards.chunks", "expected an array");
+    const uint64_t chunk_count = (shard.m_Size + m.m_ChunkSize - 1) / m.m_ChunkSize;
+    if (chunks->as_array().size() != chunk_count || chunk_count + m.m_ChunkCount > kChunksMax)
+        return FieldError("shards.chunks", "count doesn't match the size");
     for (const json::value& c : chunks->as_array())
     {
         Digest d{};
         if (!c.is_string() || !FromHex(std::string_view(c.as_string()), d))
-            return Bad("shards.chunks", "expected SHA-256 digests");
+            return FieldError("shards.chunks", "expected SHA-256 digests");
         shard.m_Chunks.push_back(d);
     }
     return shard;
@@ -77,11 +77,11 @@
     m->m_Text   = std::string(text);
     m->m_Digest = ToHex(Sha256(text));
     if (!expected_digest.empty() && m->m_Digest != expected_digest)
-        return Bad("digest", "bytes don't match the declared digest");
+        return FieldError("digest", "bytes don't match the declared digest");
     json::error_code  ec;
     const json::value v = json::parse(text, ec);
     if (ec || !v.is_object())
-        return Bad("", "no JSON object");
+        return FieldError("", "no JSON object");
     const json::object& o       = v.as_object();
     auto                model   = ReadText(o, "model", true);
     auto                version = ReadText(o, "version", true);
@@ -102,7 +102,7 @@
 
     const json::value* shards = o.if_contains("shards");
     if (shards == nullptr || !shards->is_array() || shards->as_array().empty())
-        return Bad("shards", "expected at least one");
+        return FieldError("shards", "expected at least one");
     for (const json::value& item : shards->as_array())
     {
         auto shard = ReadShard(item, *m);
@@ -115,22 +115,22 @@
     return ManifestPtr(std::move(m));
 }
 
-ChunkPlace PlaceOf(const Manifest& m, uint32_t chunk)
+ChunkLocation LocateChunk(const Manifest& m, uint32_t chunk)
 {
     BOOST_ASSERT_MSG(chunk < m.m_ChunkCount, "chunk number out of range");
     uint32_t shard = 0;
-    while (shard + 1 < m.m_Shards.size() && m.m_Shards[shard + 1].m_First <= chunk)
+    while (shard + 1 < m.m_Shards.size() && m.m_Shards[shard + 1].m_FirstChunk <= chunk)
         shard++;
     const ManifestShard& s = m.m_Shards[shard];
-    ChunkPlace           p{shard, (chunk - s.m_First) * m.m_ChunkSize, 0};
+    ChunkLocation        p{shard, (chunk - s.m_FirstChunk) * m.m_ChunkSize, 0};
     p.m_Length = std::min(m.m_ChunkSize, s.m_Size - p.m_Offset);
     return p;
 }
 
 const Digest& ChunkDigest(const Manifest& m, uint32_t chunk)
 {
-    const ManifestShard& s = m.m_Shards[PlaceOf(m, chunk).m_Shard];
-    return s.m_Chunks[chunk - s.m_First];
+    const ManifestShard& s = m.m_Shards[LocateChunk(m, chunk).m_Shard];
+    return s.m_Chunks[chunk - s.m_FirstChunk];
 }
 
 std::string SliceDigest(std::string_view digest, size_t position, size_t count)
@@ -156,7 +156,7 @@
     for (size_t i = position; i < m->m_Shards.size(); i += count)
     {
         ManifestShard shard = m->m_Shards[i];
-        shard.m_First       = slice->m_ChunkCount;
+        shard.m_FirstChunk  = slice->m_ChunkCount;
         slice->m_ChunkCount += static_cast<uint32_t>(shard.m_Chunks.size());
         slice->m_Size += shard.m_Size;
         slice->m_Shards.push_back(std::move(shard));
--- a/src/version/manifest.h
+++ b/src/version/manifest.h
@@ -5,7 +5,7 @@
 //
 // Usage:
 //   Result<Manifest> m = ParseManifest(text, expected_digest);
-//   ChunkPlace p = PlaceOf(m, index);                    // shard, offset, length
+//   ChunkLocation p = LocateChunk(m, index);                    // shard, offset, length
 //
 // Text form: {"model": "atlas", "version": "7", "base": "<digest>"?, "chunk_size": 262144,
 //             "shards": [{"name": "shard-0", "size": 67108864, "chunks": ["<sha256>", ...]}]}
@@ -25,10 +25,10 @@
 
 struct ManifestShard
 {
-    std::string         m_Name;      // file name, without '/'
-    uint64_t            m_Size = 0;  // bytes, over 0
-    std::vector<Digest> m_Chunks;    // invariant: m_Chunks.size() == ceil(m_Size / chunk size)
-    uint32_t            m_First = 0; // number of its first chunk
+    std::string         m_Name;           // file name, without '/'
+    uint64_t            m_Size = 0;       // bytes, over 0
+    std::vector<Digest> m_Chunks;         // invariant: m_Chunks.size() == ceil(m_Size / chunk size)
+    uint32_t            m_FirstChunk = 0; // number of its first chunk
 };
 
 struct Manifest
@@ -45,7 +45,7 @@
 };
 using ManifestPtr = std::shared_ptr<const Manifest>;
 
-struct ChunkPlace
+struct ChunkLocation
 {
     uint32_t m_Shard  = 0; // index into m_Shards
     uint64_t m_Offset = 0; // bytes into the shard
@@ -53,7 +53,7 @@
 };
 
 Result<ManifestPtr> ParseManifest(std::string_view text, std::string_view expected_digest); // expected "": take any
-ChunkPlace          PlaceOf(const Manifest& m, uint32_t chunk);                             // asserts chunk < m_ChunkCount
+ChunkLocation       LocateChunk(const Manifest& m, uint32_t chunk);                         // asserts chunk < m_ChunkCount
 const Digest&       ChunkDigest(const Manifest& m, uint32_t chunk);
 
 // The part of a manifest that box `position` of a replica of `count` boxes holds: every count-th shard, renumbered. Its m_Digest gets
--- a/src/version/piece_transfer_fetch.cpp
+++ b/src/version/piece_transfer_fetch.cpp
@@ -41,7 +41,7 @@
     if (good || timed_out)
         AdaptSlots(job, took - std::min(took, answer.m_Waited)); // what it waited over there says nothing of the link here
     if (good)
-        job.m_Exchange->OnWaited(peer, answer.m_Waited, Now());
+        job.m_Exchange->OnUploadQueueWait(peer, answer.m_Waited, Now());
     if (failed)
         AskWhatItHas(job.m_Version, peer);
 }
@@ -132,7 +132,8 @@
 
 awaitable<ChunkOutcome> PieceTransfer::FromOrigin(std::shared_ptr<Job> job, uint32_t n)
 {
-    auto bytes = co_await m_Origin.ReadPiece(m_OriginAt->m_Address, m_Model, job->m_Version, n, job->m_Exchange->SharesMore(), Now() + kOriginMax);
+    auto bytes =
+        co_await m_Origin.ReadPiece(m_OriginAt->m_Address, m_Model, job->m_Version, n, job->m_Exchange->HasOwnShareLeft(), Now() + kOriginMax);
     if (!bytes || job->m_Over)
     {
         if (!bytes)
--- a/src/version/piece_transfer_job.cpp
+++ b/src/version/piece_transfer_job.cpp
@@ -33,17 +33,17 @@
 ExchangeConfig TransferConfig(const std::optional<WeightOrigin>& origin, uint32_t piece_bytes)
 {
     ExchangeConfig c;
-    c.m_DownloadSlots = kPieceSlotsFirst;
-    c.m_OriginSlots   = 2; // one left its link half empty: a piece comes through the sharer's own link behind those of neighbours
-    c.m_PerPeer       = 2;
-    c.m_OriginRanks   = 64; // no cap on copies: a piece that is nowhere must be had, each further rank only steps in later
-    c.m_TakeOver      = milliseconds(900);
-    c.m_BusyPause     = milliseconds(30);
-    c.m_StallPause    = milliseconds(1000);
-    c.m_ChunkTimeout  = kPieceMax;
-    c.m_OriginPause   = milliseconds(150);
-    c.m_ForgetStalled = true;
-    c.m_OriginSharers = OriginSharers(origin, piece_bytes);
+    c.m_DownloadSlots          = kPieceSlotsFirst;
+    c.m_OriginSlots            = 2; // one left its link half empty: a piece comes through the sharer's own link behind those of neighbours
+    c.m_RequestsPerPeer        = 2;
+    c.m_OriginFetchersPerChunk = 64; // no cap on copies: a piece that is nowhere must be had, each further rank only steps in later
+    c.m_TakeOverDelay          = milliseconds(900);
+    c.m_BusyPause              = milliseconds(30);
+    c.m_StallPause             = milliseconds(1000);
+    c.m_ChunkTimeout           = kPieceMax;
+    c.m_OriginPause            = milliseconds(150);
+    c.m_ForgetStalled          = true;
+    c.m_PrimaryFetchers        = OriginSharers(origin, piece_bytes);
     return c;
 }
 
@@ -192,7 +192,7 @@
         return;
     }
     const TimePoint now = Now();
-    job->m_Exchange->HoldOrigin(!m_OriginAt || now < job->m_OriginFrom);
+    job->m_Exchange->SuspendOrigin(!m_OriginAt || now < job->m_OriginFrom);
     for (const Fetch& f : job->m_Exchange->Next(now))
     {
         if (job->m_Over)
--- a/src/version/rollout.cpp
+++ b/src/version/rollout.cpp
@@ -14,7 +14,7 @@
     return it == b.m_Versions.end() ? VersionState_Absent : it->second.m_State;
 }
 
-struct ReplicaBoxes // the boxes of one replica, in position order
+struct Replica // the boxes of one replica, in position order
 {
     std::span<const BoxObservation> m_Boxes;
 
@@ -45,15 +45,15 @@
     }
 };
 
-std::vector<ReplicaBoxes> GroupBoxes(const RolloutInput& in)
+std::vector<Replica> GroupReplicas(const RolloutInput& in)
 {
-    std::vector<ReplicaBoxes> out;
+    std::vector<Replica> out;
     for (size_t at = 0; at + in.m_BoxesPerReplica <= in.m_Boxes.size(); at += in.m_BoxesPerReplica)
         out.push_back({std::span(in.m_Boxes).subspan(at, in.m_BoxesPerReplica)});
     return out;
 }
 
-void PlanPrepares(RolloutPlan& plan, const ReplicaBoxes& replica)
+void PlanPrepares(RolloutPlan& plan, const Replica& replica)
 {
     for (size_t i = 0; i < replica.m_Boxes.size(); i++)
     {
@@ -65,19 +65,19 @@
     }
 }
 
-void PlanCommits(RolloutPlan& plan, const RolloutInput& in, const std::vector<ReplicaBoxes>& replicas)
+void PlanCommits(RolloutPlan& plan, const RolloutInput& in, const std::vector<Replica>& replicas)
 {
     size_t out_of_service = 0;
-    for (const ReplicaBoxes& r : replicas)
+    for (const Replica& r : replicas)
         out_of_service += r.Available() ? 0 : in.m_BoxesPerReplica;
-    for (const ReplicaBoxes& r : replicas)
+    for (const Replica& r : replicas)
     {
         if (r.Serves(plan.m_Target) || !r.Ready(plan.m_Target))
             continue;
         if (r.Available())
         {
-            const bool fits = out_of_service + in.m_BoxesPerReplica <= std::max(in.m_MaxUnavailable, in.m_BoxesPerReplica);
-            if (in.m_Paused || !fits)
+            const bool within_bound = out_of_service + in.m_BoxesPerReplica <= std::max(in.m_MaxUnavailable, in.m_BoxesPerReplica);
+            if (in.m_Paused || !within_bound)
                 continue;
             out_of_service += in.m_BoxesPerReplica;
         }
@@ -116,9 +116,9 @@
         {
             const std::string whole(WholeDigest(slice));
             const bool        adapter = std::find(in.m_Adapters.begin(), in.m_Adapters.end(), whole) != in.m_Adapters.end();
-            const bool        kept    = whole == in.m_Wanted || whole == in.m_Previous || slice == b.m_Active || adapter;
+            const bool        needed  = whole == in.m_Wanted || whole == in.m_Previous || slice == b.m_Active || adapter;
             const bool        busy    = held.m_State == VersionState_Loading || held.m_State == VersionState_Servable;
-            if (!kept && !busy)
+            if (!needed && !busy)
                 plan.m_Orders.push_back({b.m_Name, OrderKind_Unload, slice, {}});
         }
     }
@@ -128,16 +128,16 @@
 
 RolloutPlan PlanRollout(const RolloutInput& in)
 {
-    RolloutPlan                     plan;
-    const std::vector<ReplicaBoxes> replicas = GroupBoxes(in);
-    size_t                          failed   = 0;
-    for (const ReplicaBoxes& r : replicas)
+    RolloutPlan                plan;
+    const std::vector<Replica> replicas = GroupReplicas(in);
+    size_t                     failed   = 0;
+    for (const Replica& r : replicas)
         for (size_t i = 0; i < r.m_Boxes.size(); i++)
             if (const auto v = r.m_Boxes[i].m_Versions.find(r.SliceFor(in.m_Wanted, i)); v != r.m_Boxes[i].m_Versions.end())
                 failed += v->second.m_Failures;
     plan.m_Halt   = in.m_Halted || (failed >= in.m_HaltAfterFailed && !in.m_Previous.empty());
     plan.m_Target = plan.m_Halt && !in.m_Previous.empty() ? in.m_Previous : in.m_Wanted;
-    for (const ReplicaBoxes& r : replicas)
+    for (const Replica& r : replicas)
     {
         PlanPrepares(plan, r);
         plan.m_ServableBoxes += r.Serves(plan.m_Target) ? r.m_Boxes.size() : 0;
--- a/src/version/staging.cpp
+++ b/src/version/staging.cpp
@@ -10,25 +10,25 @@
     std::map<Digest, uint64_t> missing;
     for (uint32_t i = 0; i < m.m_ChunkCount; i++)
     {
-        const Digest&   d     = ChunkDigest(m, i);
-        Shard&          shard = ShardOf(d);
-        std::lock_guard shard_lock(shard.m_Mutex);
-        if (!shard.m_Slots.contains(d))
-            missing[d] = PlaceOf(m, i).m_Length;
+        const Digest&   d      = ChunkDigest(m, i);
+        Stripe&         stripe = StripeOf(d);
+        std::lock_guard stripe_lock(stripe.m_Mutex);
+        if (!stripe.m_Entries.contains(d))
+            missing[d] = LocateChunk(m, i).m_Length;
     }
     uint64_t bytes = 0;
     for (const auto& [d, n] : missing)
         bytes += n;
-    if (m_Reserved + bytes > m_Max)
-        return MakeError(ErrorCode_Limited,
-                         "staging bound reached: " + std::to_string(bytes) + " bytes wanted, " + std::to_string(m_Max - m_Reserved) + " free");
-    m_Reserved += bytes;
+    if (m_ReservedBytes + bytes > m_MaxBytes)
+        return MakeError(ErrorCode_Limited, "staging bound reached: " + std::to_string(bytes) + " bytes wanted, " +
+                                                std::to_string(m_MaxBytes - m_ReservedBytes) + " free");
+    m_ReservedBytes += bytes;
     for (uint32_t i = 0; i < m.m_ChunkCount; i++)
     {
-        const Digest&   d     = ChunkDigest(m, i);
-        Shard&          shard = ShardOf(d);
-        std::lock_guard shard_lock(shard.m_Mutex);
-        shard.m_Slots[d].m_Users++;
+        const Digest&   d      = ChunkDigest(m, i);
+        Stripe&         stripe = StripeOf(d);
+        std::lock_guard stripe_lock(stripe.m_Mutex);
+        stripe.m_Entries[d].m_Versions++;
     }
     return Ok();
 }
@@ -38,14 +38,14 @@
     std::lock_guard lock(m_ReserveMutex);
     for (uint32_t i = 0; i < m.m_ChunkCount; i++)
     {
-        const Digest&   d     = ChunkDigest(m, i);
-        Shard&          shard = ShardOf(d);
-        std::lock_guard shard_lock(shard.m_Mutex);
-        const auto      it = shard.m_Slots.find(d);
-        if (it == shard.m_Slots.end() || --it->second.m_Users > 0)
+        const Digest&   d      = ChunkDigest(m, i);
+        Stripe&         stripe = StripeOf(d);
+        std::lock_guard stripe_lock(stripe.m_Mutex);
+        const auto      it = stripe.m_Entries.find(d);
+        if (it == stripe.m_Entries.end() || --it->second.m_Versions > 0)
             continue;
-        m_Reserved -= PlaceOf(m, i).m_Length;
-        shard.m_Slots.erase(it);
+        m_ReservedBytes -= LocateChunk(m, i).m_Length;
+        stripe.m_Entries.erase(it);
     }
 }
 
@@ -53,26 +53,26 @@
 {
     if (Sha256(bytes) != d)
         return false;
-    Shard&          shard = ShardOf(d);
-    std::lock_guard lock(shard.m_Mutex);
-    const auto      it = shard.m_Slots.find(d);
-    if (it != shard.m_Slots.end() && !it->second.m_Bytes)
+    Stripe&         stripe = StripeOf(d);
+    std::lock_guard lock(stripe.m_Mutex);
+    const auto      it = stripe.m_Entries.find(d);
+    if (it != stripe.m_Entries.end() && !it->second.m_Bytes)
         it->second.m_Bytes = std::make_shared<const std::vector<uint8_t>>(std::move(bytes));
     return true; // without a reservation the bytes are dropped: the version went while they were on their way
 }
 
 ChunkBytes Staging::Get(const Digest& d) const
 {
-    const Shard&    shard = ShardOf(d);
-    std::lock_guard lock(shard.m_Mutex);
-    const auto      it = shard.m_Slots.find(d);
-    return it == shard.m_Slots.end() ? nullptr : it->second.m_Bytes;
+    const Stripe&   stripe = StripeOf(d);
+    std::lock_guard lock(stripe.m_Mutex);
+    const auto      it = stripe.m_Entries.find(d);
+    return it == stripe.m_Entries.end() ? nullptr : it->second.m_Bytes;
 }
 
-uint64_t Staging::Reserved() const
+uint64_t Staging::ReservedBytes() const
 {
     std::lock_guard lock(m_ReserveMutex);
-    return m_Reserved;
+    return m_ReservedBytes;
 }
 
 } // namespace aldervale
--- a/src/version/staging.h
+++ b/src/version/staging.h
@@ -24,38 +24,38 @@
 class Staging
 {
 public:
-    explicit Staging(uint64_t max_bytes) : m_Max(max_bytes) {}
+    explicit Staging(uint64_t max_bytes) : m_MaxBytes(max_bytes) {}
 
     Status     Reserve(const Manifest& m);
     void       Release(const Manifest& m);
     bool       Put(const Digest& d, std::vector<uint8_t> bytes); // verifies; also true when it was there already
     ChunkBytes Get(const Digest& d) const;
     bool       Has(const Digest& d) const { return Get(d) != nullptr; }
-    uint64_t   Reserved() const; // bytes
-    uint64_t   Max() const { return m_Max; }
+    uint64_t   ReservedBytes() const; // bytes
+    uint64_t   MaxBytes() const { return m_MaxBytes; }
 
 private:
-    struct Slot
+    struct Entry
     {
-        ChunkBytes m_Bytes;     // null until Put()
-        unsigned   m_Users = 0; // versions that reserved it; the slot goes with the last
+        ChunkBytes m_Bytes;        // null until Put()
+        unsigned   m_Versions = 0; // versions that reserved it; the slot goes with the last
     };
 
-    struct Shard
+    struct Stripe
     {
-        mutable std::mutex     m_Mutex; // guards m_Slots
-        std::map<Digest, Slot> m_Slots;
+        mutable std::mutex      m_Mutex; // guards m_Entries
+        std::map<Digest, Entry> m_Entries;
     };
 
-    static constexpr size_t kShards = 16;
+    static constexpr size_t kStripes = 16;
 
-    Shard&       ShardOf(const Digest& d) { return m_Shards[d[0] % kShards]; }
-    const Shard& ShardOf(const Digest& d) const { return m_Shards[d[0] % kShards]; }
+    Stripe&       StripeOf(const Digest& d) { return m_Stripes[d[0] % kStripes]; }
+    const Stripe& StripeOf(const Digest& d) const { return m_Stripes[d[0] % kStripes]; }
 
-    std::array<Shard, kShards> m_Shards;       //
-    uint64_t                   m_Max;          // bytes
-    mutable std::mutex         m_ReserveMutex; // guards m_Reserved and serializes Reserve() and Release()
-    uint64_t                   m_Reserved = 0; // bytes of all slots, filled or not; invariant: <= m_Max
+    std::array<Stripe, kStripes> m_Stripes;           //
+    uint64_t                     m_MaxBytes;          // bytes
+    mutable std::mutex           m_ReserveMutex;      // guards m_ReservedBytes and serializes Reserve() and Release()
+    uint64_t                     m_ReservedBytes = 0; // bytes of all slots, filled or not; invariant: <= m_MaxBytes
 };
 
 } // namespace aldervale
--- a/src/version/token_bucket.h
+++ b/src/version/token_bucket.h
@@ -14,7 +14,7 @@
 class TokenBucket
 {
 public:
-    TokenBucket(double rate, double burst, TimePoint now) : m_Rate(rate), m_Burst(burst), m_Tokens(burst), m_At(now) {}
+    TokenBucket(double rate, double burst, TimePoint now) : m_Rate(rate), m_Burst(burst), m_Tokens(burst), m_RefilledAt(now) {}
 
     // Takes n tokens, going into debt; returns when the debt is paid off. A rate of 0 means no limit.
     TimePoint Reserve(double n, TimePoint now)
@@ -60,16 +60,16 @@
 private:
     void Refill(TimePoint now)
     {
-        if (now <= m_At)
+        if (now <= m_RefilledAt)
             return;
-        m_Tokens = std::min(m_Burst, m_Tokens + m_Rate * ToSeconds(now - m_At));
-        m_At     = now;
+        m_Tokens     = std::min(m_Burst, m_Tokens + m_Rate * ToSeconds(now - m_RefilledAt));
+        m_RefilledAt = now;
     }
 
-    double    m_Rate;   // tokens a second; 0: no limit
-    double    m_Burst;  // tokens that may gather
-    double    m_Tokens; // below 0: debt
-    TimePoint m_At;     // time of the last refill; never falls
+    double    m_Rate;       // tokens a second; 0: no limit
+    double    m_Burst;      // tokens that may gather
+    double    m_Tokens;     // below 0: debt
+    TimePoint m_RefilledAt; // time of the last refill; never falls
 };
 
 } // namespace aldervale
--- a/src/version/transfer.cpp
+++ b/src/version/transfer.cpp
@@ -8,23 +8,23 @@
 namespace
 {
 
-constexpr auto   kManifestTimeout  = milliseconds(3000); // one read from the origin
-constexpr auto   kManifestAsk      = milliseconds(500);  // one question to a neighbour
-constexpr auto   kManifestFallback = milliseconds(3000); // without an answer from neighbours, ask the origin after this
-constexpr auto   kRetryPause       = milliseconds(200);
-constexpr auto   kHaveEvery        = milliseconds(40); // HaveUpdates are batched this long
-constexpr auto   kEarly            = seconds(2);
-constexpr auto   kWatchEvery       = milliseconds(500);
-constexpr auto   kStuckAfter       = milliseconds(3000); // nothing moved for this long: look beyond the scope
-constexpr size_t kManifestReaders  = 3;                  // members of a scope that read the manifest from the origin at once
-constexpr size_t kOutsidePerDc     = 2;                  // boxes of each other data centre tried when stuck
-constexpr size_t kRemotePerDc      = 2;                  // boxes of each other data centre in the scope
+constexpr auto   kOriginManifestTimeout    = milliseconds(3000); // one read from the origin
+constexpr auto   kNeighbourManifestTimeout = milliseconds(500);  // one question to a neighbour
+constexpr auto   kManifestFallback         = milliseconds(3000); // without an answer from neighbours, ask the origin after this
+constexpr auto   kRetryPause               = milliseconds(200);
+constexpr auto   kAnnounceEvery            = milliseconds(40); // HaveUpdates are batched this long
+constexpr auto   kEarlyPhase               = seconds(2);
+constexpr auto   kProgressCheckEvery       = milliseconds(500);
+constexpr auto   kStalledAfter             = milliseconds(3000); // nothing moved for this long: look beyond the scope
+constexpr size_t kManifestFetchers         = 3;                  // members of a scope that read the manifest from the origin at once
+constexpr size_t kOutsidePerDc             = 2;                  // boxes of each other data centre tried when stuck
+constexpr size_t kRemotePerDc              = 2;                  // boxes of each other data centre in the scope
 
 } // namespace
 
 Transfer::Transfer(std::shared_ptr<TransferShared> shared, std::string placement, std::string slice, size_t position, size_t count)
-    : m_Shared(std::move(shared)), m_Placement(std::move(placement)), m_Slice(std::move(slice)), m_Position(position), m_Count(count),
-      m_StartedAt(Now()), m_LastProgress(m_StartedAt)
+    : m_Shared(std::move(shared)), m_Placement(std::move(placement)), m_Slice(std::move(slice)), m_ReplicaPosition(position),
+      m_BoxesPerReplica(count), m_StartedAt(Now()), m_LastChunkAt(m_StartedAt)
 {
 }
 
@@ -63,10 +63,10 @@
     return m_Manifest;
 }
 
-std::string Transfer::WholeText() const
+std::string Transfer::WholeManifestText() const
 {
     std::lock_guard lock(m_Mutex);
-    return m_WholeText;
+    return m_WholeManifestText;
 }
 
 void Transfer::Finish(Status s)
@@ -77,8 +77,8 @@
         done = std::exchange(m_Done, nullptr);
         if (s)
         {
-            m_Verified = true;
-            m_Seconds  = ToSeconds(Now() - m_StartedAt);
+            m_Verified     = true;
+            m_FetchSeconds = ToSeconds(Now() - m_StartedAt);
         }
     }
     if (done)
@@ -103,7 +103,7 @@
     for (const auto& [dc, n] : p->second.m_Spec.m_Replicas)
     {
         const std::vector<std::string> boxes = AssignBoxes(*c, m_Placement, dc);
-        for (size_t i = m_Position; i < boxes.size(); i += m_Count)
+        for (size_t i = m_ReplicaPosition; i < boxes.size(); i += m_BoxesPerReplica)
             if (whole_fleet || in_scope.contains(boxes[i]))
                 out.push_back(boxes[i]);
     }
@@ -125,13 +125,13 @@
         if (members[i] == self || box == c->m_Boxes.end())
             continue;
         const std::string& box_dc = box->second.m_Spec.m_DataCentre;
-        const size_t most = box_dc == dc ? static_cast<size_t>(m_Shared->m_Settings.m_Neighbours) : outside_scope ? kOutsidePerDc : kRemotePerDc;
-        if (taken[box_dc]++ < most)
+        const size_t       max = box_dc == dc ? static_cast<size_t>(m_Shared->m_Settings.m_Neighbours) : outside_scope ? kOutsidePerDc : kRemotePerDc;
+        if (taken[box_dc]++ < max)
             m_Shared->m_Node.KeepLink(ParseEndpoint(box->second.m_Spec.m_Address).value());
     }
     {
         std::lock_guard lock(m_Mutex);
-        auto&           set = outside_scope ? m_Outside : m_Members;
+        auto&           set = outside_scope ? m_OutsideMembers : m_ScopeMembers;
         set.insert(members.begin(), members.end());
     }
     for (const LinkPtr& link : m_Shared->m_Node.Links(wire::PeerRole::Agent))
@@ -143,7 +143,7 @@
     const LinkPeer peer = link->Peer();
     {
         std::lock_guard lock(m_Mutex);
-        if (m_Stopped || (!m_Members.contains(peer.m_Name) && !m_Outside.contains(peer.m_Name)))
+        if (m_Stopped || (!m_ScopeMembers.contains(peer.m_Name) && !m_OutsideMembers.contains(peer.m_Name)))
             return;
         if (m_Exchange)
             m_Exchange->OnPeerUp(peer.m_Name, peer.m_DataCentre == m_Shared->m_Daemon.Settings().m_DataCentre);
@@ -183,7 +183,7 @@
     const LinkPeer peer = link->Peer();
     {
         std::lock_guard lock(m_Mutex);
-        if (m_Exchange && (m_Members.contains(peer.m_Name) || m_Outside.contains(peer.m_Name)))
+        if (m_Exchange && (m_ScopeMembers.contains(peer.m_Name) || m_OutsideMembers.contains(peer.m_Name)))
         {
             m_Exchange->OnPeerUp(peer.m_Name, peer.m_DataCentre == m_Shared->m_Daemon.Settings().m_DataCentre);
             std::span<const uint32_t> added;
@@ -194,30 +194,30 @@
     }
     if (msg.reply())
         SendHave(link, false);
-    Pump();
+    StartFetches();
 }
 
-awaitable<void> Transfer::HaveLoop()
+awaitable<void> Transfer::AnnounceLoop()
 {
     for (;;)
     {
         // Early on every chunk is rare and news of it worth much; later batches may be larger.
-        co_await SleepFor(Now() - m_StartedAt < kEarly ? kHaveEvery : 2 * kHaveEvery);
+        co_await SleepFor(Now() - m_StartedAt < kEarlyPhase ? kAnnounceEvery : 2 * kAnnounceEvery);
         wire::HaveUpdateT     msg;
         std::set<std::string> to;
         {
             std::lock_guard lock(m_Mutex);
             if (m_Stopped)
                 co_return;
-            if (m_NewHave.empty())
+            if (m_UnannouncedChunks.empty())
                 continue;
             msg.digest = m_Slice;
             msg.whole  = m_Exchange->Complete();
             if (!msg.whole)
-                msg.added = m_NewHave;
-            m_NewHave.clear();
-            to = m_Members;
-            to.insert(m_Outside.begin(), m_Outside.end());
+                msg.added = m_UnannouncedChunks;
+            m_UnannouncedChunks.clear();
+            to = m_ScopeMembers;
+            to.insert(m_OutsideMembers.begin(), m_OutsideMembers.end());
         }
         const FrameBytes frame = EncodeFrame(0, msg);
         for (const LinkPtr& link : m_Shared->m_Node.Links(wire::PeerRole::Agent))
@@ -229,28 +229,28 @@
 }
 
 // Wakes the exchange when time alone changes what it may do, and looks beyond the scope when nothing moves.
-awaitable<void> Transfer::WatchLoop()
+awaitable<void> Transfer::ProgressLoop()
 {
-    bool outside = false;
+    bool outside_dialled = false;
     for (;;)
     {
-        Duration pause = kWatchEvery;
-        bool     stuck = false;
+        Duration pause   = kProgressCheckEvery;
+        bool     stalled = false;
         {
             std::lock_guard lock(m_Mutex);
             if (m_Stopped || m_Exchange->Complete())
                 co_return;
             if (const auto wake = m_Exchange->NextWake())
-                pause = std::clamp<Duration>(*wake - Now(), milliseconds(1), kWatchEvery);
-            stuck = Now() - m_LastProgress > kStuckAfter;
+                pause = std::clamp<Duration>(*wake - Now(), milliseconds(1), kProgressCheckEvery);
+            stalled = Now() - m_LastChunkAt > kStalledAfter;
         }
-        if (stuck && !outside)
+        if (stalled && !outside_dialled)
         {
-            outside = true;
+            outside_dialled = true;
             DialNeighbours(true);
         }
         co_await SleepFor(pause);
-        Pump();
+        StartFetches();
     }
 }
 
@@ -258,20 +258,20 @@
 // Manifest
 //-----------------------------------------------------------------------------
 
-awaitable<ManifestPtr> Transfer::AskNeighbours()
+awaitable<ManifestPtr> Transfer::RequestManifestFromNeighbours()
 {
     const auto           ex    = co_await asio::this_coro::executor;
     std::vector<LinkPtr> links = m_Shared->m_Node.Links(wire::PeerRole::Agent);
     for (const LinkPtr& link : links)
     {
         wire::ManifestGetT get;
-        get.digest                   = std::string(WholeDigest(m_Slice));
-        const MailboxPtr        box  = link->OpenExchange(ex);
-        const bool              sent = link->Send(EncodeFrame(box->Id(), get));
+        get.digest                      = std::string(WholeDigest(m_Slice));
+        const MailboxPtr        mailbox = link->OpenExchange(ex);
+        const bool              sent    = link->Send(EncodeFrame(mailbox->Id(), get));
         std::optional<FrameBuf> answer;
         if (sent)
-            answer = co_await box->Pop(Now() + kManifestAsk);
-        link->CloseExchange(box->Id());
+            answer = co_await mailbox->Pop(Now() + kNeighbourManifestTimeout);
+        link->CloseExchange(mailbox->Id());
         const wire::ManifestData* data = answer ? answer->Get()->body_as_ManifestData() : nullptr;
         if (data == nullptr || !data->found() || data->json() == nullptr)
             continue;
@@ -287,9 +287,9 @@
 {
     const std::vector<std::string> members = SliceMembers(false);
     const std::vector<size_t>      order   = RendezvousOrder(m_Slice, members);
-    bool                           reader  = false;
-    for (size_t i = 0; i < std::min(order.size(), kManifestReaders); i++)
-        reader = reader || members[order[i]] == m_Shared->m_Daemon.Settings().m_Name;
+    bool                           fetcher = false;
+    for (size_t i = 0; i < std::min(order.size(), kManifestFetchers); i++)
+        fetcher = fetcher || members[order[i]] == m_Shared->m_Daemon.Settings().m_Name;
     for (;;)
     {
         {
@@ -297,9 +297,9 @@
             if (m_Stopped)
                 co_return nullptr;
         }
-        if (reader || Now() - m_StartedAt > kManifestFallback)
+        if (fetcher || Now() - m_StartedAt > kManifestFallback)
         {
-            auto text = co_await m_Shared->m_Store.ReadManifest(std::string(WholeDigest(m_Slice)), Now() + kManifestTimeout);
+            auto text = co_await m_Shared->m_Store.ReadManifest(std::string(WholeDigest(m_Slice)), Now() + kOriginManifestTimeout);
             if (text)
             {
                 auto parsed = ParseManifest(text.value(), WholeDigest(m_Slice));
@@ -310,7 +310,7 @@
             else
                 LogEvent(Event_OriginUnreachable, {{"what", text.error().m_Message}});
         }
-        ManifestPtr m = co_await AskNeighbours();
+        ManifestPtr m = co_await RequestManifestFromNeighbours();
         if (m)
             co_return m;
         co_await SleepFor(kRetryPause);
@@ -328,7 +328,7 @@
     const ManifestPtr whole = co_await ObtainManifest();
     if (!whole)
         co_return;
-    const ManifestPtr m        = SliceManifest(whole, m_Position, m_Count);
+    const ManifestPtr m        = SliceManifest(whole, m_ReplicaPosition, m_BoxesPerReplica);
     const Status      reserved = m_Shared->m_Staging.Reserve(*m);
     if (!reserved)
     {
@@ -344,12 +344,12 @@
     bool done    = false;
     {
         std::lock_guard lock(m_Mutex);
-        m_Manifest  = m;
-        m_WholeText = whole->m_Text;
-        m_Reserved  = true;
-        m_Exchange  = std::make_unique<Exchange>(m, m_Shared->m_Config, SliceMembers(false), m_Shared->m_Daemon.Settings().m_Name, present);
-        stopped     = m_Stopped;
-        done        = m_Exchange->Complete();
+        m_Manifest          = m;
+        m_WholeManifestText = whole->m_Text;
+        m_Reserved          = true;
+        m_Exchange          = std::make_unique<Exchange>(m, m_Shared->m_Config, SliceMembers(false), m_Shared->m_Daemon.Settings().m_Name, present);
+        stopped             = m_Stopped;
+        done                = m_Exchange->Complete();
     }
     if (stopped)
     {
@@ -363,12 +363,12 @@
         Finish(Ok());
         co_return;
     }
-    Spawn(m_Shared->m_Daemon.Ioc(), [](TransferPtr t) -> awaitable<void> { co_await t->HaveLoop(); }(self));
-    Spawn(m_Shared->m_Daemon.Ioc(), [](TransferPtr t) -> awaitable<void> { co_await t->WatchLoop(); }(self));
-    Pump();
+    Spawn(m_Shared->m_Daemon.Ioc(), [](TransferPtr t) -> awaitable<void> { co_await t->AnnounceLoop(); }(self));
+    Spawn(m_Shared->m_Daemon.Ioc(), [](TransferPtr t) -> awaitable<void> { co_await t->ProgressLoop(); }(self));
+    StartFetches();
 }
 
-void Transfer::Pump()
+void Transfer::StartFetches()
 {
     std::vector<Fetch> fetches;
     ManifestPtr        m;
@@ -395,23 +395,23 @@
     bool complete = false;
     {
         std::lock_guard lock(m_Mutex);
-        const unsigned  aside = m_Exchange->SetAside();
+        const unsigned  excluded = m_Exchange->ExcludedPeers();
         m_Exchange->OnChunk(f.m_Chunk, f.m_Peer, outcome, Now());
-        if (m_Exchange->SetAside() != aside)
+        if (m_Exchange->ExcludedPeers() != excluded)
             LogEvent(Event_PeerSetAside, {{"peer", f.m_Peer}, {"digest", m_Slice}});
         if (outcome == ChunkOutcome_Good)
         {
-            m_NewHave.push_back(f.m_Chunk);
-            m_LastProgress = Now();
-            complete       = m_Exchange->Complete() && !m_Verified;
+            m_UnannouncedChunks.push_back(f.m_Chunk);
+            m_LastChunkAt = Now();
+            complete      = m_Exchange->Complete() && !m_Verified;
         }
     }
     if (complete)
         Finish(Ok());
-    Pump();
+    StartFetches();
 }
 
-bool Transfer::KeepOrCount(const Fetch& f, const Manifest& m, std::vector<uint8_t> bytes)
+bool Transfer::VerifyAndStage(const Fetch& f, const Manifest& m, std::vector<uint8_t> bytes)
 {
     if (m_Shared->m_Staging.Put(ChunkDigest(m, f.m_Chunk), std::move(bytes)))
         return true;
@@ -425,46 +425,46 @@
     if (!link)
         co_return ChunkOutcome_Failed;
     wire::ChunkGetT get;
-    get.digest                   = m_Slice;
-    get.index                    = f.m_Chunk;
-    get.urgent                   = f.m_Urgent;
-    const auto              ex   = co_await asio::this_coro::executor;
-    const MailboxPtr        box  = link->OpenExchange(ex);
-    const bool              sent = link->Send(EncodeFrame(box->Id(), get));
+    get.digest                      = m_Slice;
+    get.index                       = f.m_Chunk;
+    get.urgent                      = f.m_Urgent;
+    const auto              ex      = co_await asio::this_coro::executor;
+    const MailboxPtr        mailbox = link->OpenExchange(ex);
+    const bool              sent    = link->Send(EncodeFrame(mailbox->Id(), get));
     std::optional<FrameBuf> answer;
     if (sent)
-        answer = co_await box->Pop(Now() + m_Shared->m_Config.m_ChunkTimeout);
-    link->CloseExchange(box->Id());
+        answer = co_await mailbox->Pop(Now() + m_Shared->m_Config.m_ChunkTimeout);
+    link->CloseExchange(mailbox->Id());
     if (!answer)
         co_return ChunkOutcome_Failed;
     if (const wire::ChunkRefused* refused = answer->Get()->body_as_ChunkRefused())
-        co_return refused->spent() ? ChunkOutcome_Spent : refused->busy() ? ChunkOutcome_Busy : ChunkOutcome_Missing;
+        co_return refused->spent() ? ChunkOutcome_OverBudget : refused->busy() ? ChunkOutcome_Busy : ChunkOutcome_Missing;
     const wire::ChunkData* data = answer->Get()->body_as_ChunkData();
     if (data == nullptr || data->bytes() == nullptr || data->index() != f.m_Chunk)
         co_return ChunkOutcome_Corrupt;
-    const TimePoint      paid = m_Shared->m_Link.Reserve(data->bytes()->size());
+    const TimePoint      earliest = m_Shared->m_Link.Reserve(data->bytes()->size());
     std::vector<uint8_t> bytes(data->bytes()->begin(), data->bytes()->end());
-    if (!KeepOrCount(f, m, std::move(bytes)))
+    if (!VerifyAndStage(f, m, std::move(bytes)))
         co_return ChunkOutcome_Corrupt;
-    if (paid > Now())
-        co_await SleepFor(paid - Now());
+    if (earliest > Now())
+        co_await SleepFor(earliest - Now());
     co_return ChunkOutcome_Good;
 }
 
 awaitable<ChunkOutcome> Transfer::FetchFromOrigin(const Fetch& f, const Manifest& m)
 {
-    const ChunkPlace p = PlaceOf(m, f.m_Chunk);
+    const ChunkLocation p = LocateChunk(m, f.m_Chunk);
     auto bytes = co_await m_Shared->m_Store.ReadChunk(std::string(WholeDigest(m_Slice)), m.m_Shards[p.m_Shard].m_Name, p, Now() + seconds(20));
     if (!bytes)
     {
         LogEvent(Event_OriginUnreachable, {{"what", bytes.error().m_Message}});
         co_return ChunkOutcome_Failed;
     }
-    const TimePoint paid = m_Shared->m_Link.Reserve(static_cast<double>(bytes.value().size()));
-    if (!KeepOrCount(f, m, std::move(bytes.value())))
+    const TimePoint earliest = m_Shared->m_Link.Reserve(static_cast<double>(bytes.value().size()));
+    if (!VerifyAndStage(f, m, std::move(bytes.value())))
         co_return ChunkOutcome_Corrupt;
-    if (paid > Now())
-        co_await SleepFor(paid - Now());
+    if (earliest > Now())
+        co_await SleepFor(earliest - Now());
     co_return ChunkOutcome_Good;
 }
 
@@ -484,7 +484,7 @@
             bytes = m_Shared->m_Staging.Get(ChunkDigest(*m_Manifest, msg.index()));
         const ChunkOutcome admitted = bytes ? m_Exchange->AdmitUpload(bytes->size(), msg.urgent()) : ChunkOutcome_Missing;
         refused.busy                = admitted == ChunkOutcome_Busy;
-        refused.spent               = admitted == ChunkOutcome_Spent;
+        refused.spent               = admitted == ChunkOutcome_OverBudget;
         if (admitted != ChunkOutcome_Good)
             bytes = nullptr;
     }
@@ -500,9 +500,9 @@
 
 awaitable<void> Transfer::SendChunk(LinkPtr link, uint64_t exchange, uint32_t index, ChunkBytes bytes)
 {
-    const TimePoint go = m_Shared->m_Link.Reserve(static_cast<double>(bytes->size()));
-    if (go > Now())
-        co_await SleepFor(go - Now());
+    const TimePoint earliest = m_Shared->m_Link.Reserve(static_cast<double>(bytes->size()));
+    if (earliest > Now())
+        co_await SleepFor(earliest - Now());
     const bool      sent = link->Send(EncodeChunk(exchange, m_Slice, index, *bytes));
     std::lock_guard lock(m_Mutex);
     m_Exchange->OnUploadDone(bytes->size(), sent);
@@ -511,7 +511,7 @@
 void Transfer::Describe(wire::VersionStatusT& out) const
 {
     std::lock_guard lock(m_Mutex);
-    out.seconds = static_cast<float>(m_Verified ? m_Seconds : ToSeconds(Now() - m_StartedAt));
+    out.seconds = static_cast<float>(m_Verified ? m_FetchSeconds : ToSeconds(Now() - m_StartedAt));
     if (!m_Exchange)
         return;
     out.chunks_have    = m_Exchange->HaveCount();
--- a/tests/test_activation.cpp
+++ b/tests/test_activation.cpp
@@ -139,7 +139,7 @@
 BOOST_AUTO_TEST_CASE(engine_restart_closes_the_gate_until_loaded_again)
 {
     Activation a = Serving("v1");
-    a.OnEngineLost();
+    a.OnEngineRestart();
     BOOST_CHECK(!a.MayServe("v1"));
     BOOST_CHECK(Has(a.TakeActions(), ActivationAction_EngineLoad, "v1"));
     a.OnLoaded("v1", "v1");
@@ -193,7 +193,7 @@
                                case 6:
                                    engine.clear();
                                    loads.clear();
-                                   a.OnEngineLost();
+                                   a.OnEngineRestart();
                                    break;
                                case 7:
                                    a.RequestBegin(a.Active(), "");
--- a/tests/test_exchange.cpp
+++ b/tests/test_exchange.cpp
@@ -21,7 +21,7 @@
 {
     double           m_Corrupt = 0;               // share of transfers between boxes that arrive corrupt
     double           m_Fail    = 0;               // share of transfers that fail
-    std::set<size_t> m_Dying;                     // boxes that die half way
+    std::set<size_t> m_DyingBoxes;                // boxes that die half way
     uint32_t         m_OriginDiesAt = UINT32_MAX; // reads after which the origin is down
 };
 
@@ -40,7 +40,7 @@
                 if (Neighbours(i, j))
                     m_Boxes[i]->OnPeerUp(m_Names[j], true);
         m_Dead.assign(boxes, false);
-        m_Reads.assign(chunks, 0);
+        m_OriginReadsByChunk.assign(chunks, 0);
     }
 
     bool Neighbours(size_t i, size_t j) const // a ring with three on each side: connected, also when boxes die singly
@@ -50,32 +50,32 @@
         return i != j && (d <= 3 || n - d <= 3);
     }
 
-    bool Chance(double share) { return static_cast<double>(m_Random() >> 11) * 0x1p-53 < share; }
+    bool RandomTrue(double share) { return static_cast<double>(m_Random() >> 11) * 0x1p-53 < share; }
 
     ChunkOutcome FromPeer(size_t from, const Fetch& f)
     {
-        if (m_Dead[from] || Chance(m_Faults.m_Fail))
+        if (m_Dead[from] || RandomTrue(m_Faults.m_Fail))
             return ChunkOutcome_Failed;
         if (!m_Boxes[from]->Has(f.m_Chunk))
             return ChunkOutcome_Missing;
-        const uint64_t     before   = m_Boxes[from]->BytesUploaded();
+        const uint64_t     uploaded = m_Boxes[from]->BytesUploaded();
         const ChunkOutcome admitted = m_Boxes[from]->AdmitUpload(kChunkSizeMin, f.m_Urgent);
         if (admitted != ChunkOutcome_Good)
             return admitted;
-        m_OverBudget += !f.m_Urgent && static_cast<double>(before + kChunkSizeMin) > 1.05 * static_cast<double>(m_Manifest->m_Size) ? 1 : 0;
+        m_OverBudget += !f.m_Urgent && static_cast<double>(uploaded + kChunkSizeMin) > 1.05 * static_cast<double>(m_Manifest->m_Size) ? 1 : 0;
         m_Uploading.push_back(from);
-        return Chance(m_Faults.m_Corrupt) ? ChunkOutcome_Corrupt : ChunkOutcome_Good;
+        return RandomTrue(m_Faults.m_Corrupt) ? ChunkOutcome_Corrupt : ChunkOutcome_Good;
     }
 
     void Tick()
     {
-        struct Landing
+        struct Transfer
         {
             size_t       m_Box;
             Fetch        m_Fetch;
             ChunkOutcome m_Outcome;
         };
-        std::vector<Landing> landings;
+        std::vector<Transfer> transfers;
         for (size_t i = 0; i < m_Boxes.size(); i++)
         {
             if (m_Dead[i])
@@ -85,20 +85,20 @@
                 if (!f.m_Peer.empty())
                 {
                     const size_t from = static_cast<size_t>(std::find(m_Names.begin(), m_Names.end(), f.m_Peer) - m_Names.begin());
-                    landings.push_back({i, f, FromPeer(from, f)});
+                    transfers.push_back({i, f, FromPeer(from, f)});
                     continue;
                 }
                 const bool up = m_OriginReads < m_Faults.m_OriginDiesAt;
                 m_OriginReads += up ? 1 : 0;
-                m_Reads[f.m_Chunk] += up ? 1 : 0;
-                landings.push_back({i, f, up ? ChunkOutcome_Good : ChunkOutcome_Failed});
+                m_OriginReadsByChunk[f.m_Chunk] += up ? 1 : 0;
+                transfers.push_back({i, f, up ? ChunkOutcome_Good : ChunkOutcome_Failed});
             }
         }
         m_Now += milliseconds(10);
         for (const size_t from : m_Uploading)
             m_Boxes[from]->OnUploadDone(kChunkSizeMin, true);
         m_Uploading.clear();
-        for (const Landing& l : landings)
+        for (const Transfer& l : transfers)
         {
             m_Boxes[l.m_Box]->OnChunk(l.m_Fetch.m_Chunk, l.m_Fetch.m_Peer, l.m_Outcome, m_Now);
             if (l.m_Outcome != ChunkOutcome_Good)
@@ -114,7 +114,7 @@
         m_Dead[i] = true;
         for (size_t j = 0; j < m_Boxes.size(); j++)
         {
-            m_Boxes[j]->OnMemberGone(m_Names[i], true);
+            m_Boxes[j]->OnMemberDead(m_Names[i], true);
             if (Neighbours(i, j))
                 m_Boxes[j]->OnPeerDown(m_Names[i]);
         }
@@ -128,7 +128,7 @@
             bool done = true;
             for (size_t i = 0; i < m_Boxes.size(); i++)
             {
-                if (m_Faults.m_Dying.contains(i) && !m_Dead[i] && m_Boxes[i]->HaveCount() * 2 > m_Manifest->m_ChunkCount)
+                if (m_Faults.m_DyingBoxes.contains(i) && !m_Dead[i] && m_Boxes[i]->HaveCount() * 2 > m_Manifest->m_ChunkCount)
                     Kill(i);
                 done = done && (m_Dead[i] || m_Boxes[i]->Complete());
             }
@@ -146,7 +146,7 @@
     std::vector<std::unique_ptr<Exchange>> m_Boxes;
     std::vector<bool>                      m_Dead;
     std::vector<size_t>                    m_Uploading;
-    std::vector<uint32_t>                  m_Reads; // origin reads by chunk
+    std::vector<uint32_t>                  m_OriginReadsByChunk; // origin reads by chunk
     uint32_t                               m_OriginReads = 0;
     uint32_t                               m_OverBudget  = 0;
 };
@@ -177,20 +177,20 @@
 
 BOOST_AUTO_TEST_CASE(an_origin_that_takes_few_connections_is_read_by_few_members)
 {
-    constexpr size_t   kSharers = 5;
-    constexpr uint32_t kChunks  = 60;
+    constexpr size_t   kPrimaryFetchers = 5;
+    constexpr uint32_t kChunks          = 60;
     ExchangeConfig     cfg;
-    cfg.m_OriginSharers = kSharers;
+    cfg.m_PrimaryFetchers = kPrimaryFetchers;
     FakeFleet fleet(17, kChunks, {}, 7, cfg);
     BOOST_REQUIRE(fleet.Run(20'000));
-    size_t readers = 0;
+    size_t fetchers = 0;
     for (const auto& box : fleet.m_Boxes)
     {
-        readers += box->BytesFromOrigin() > 0 ? 1 : 0;
+        fetchers += box->BytesFromOrigin() > 0 ? 1 : 0;
         if (box->BytesFromOrigin() > 0)
-            BOOST_CHECK_EQUAL(box->BytesFromOrigin(), kChunks / kSharers * kChunkSizeMin);
+            BOOST_CHECK_EQUAL(box->BytesFromOrigin(), kChunks / kPrimaryFetchers * kChunkSizeMin);
     }
-    BOOST_TEST(readers == kSharers);
+    BOOST_TEST(fetchers == kPrimaryFetchers);
     BOOST_TEST(fleet.m_OriginReads == kChunks);
 }
 
@@ -199,8 +199,8 @@
     constexpr uint32_t kChunks = 20;
     const auto         m       = MakeTestManifest(kChunks);
     ExchangeConfig     cfg;
-    cfg.m_OriginSharers = 2;
-    cfg.m_OriginRanks   = 64;
+    cfg.m_PrimaryFetchers        = 2;
+    cfg.m_OriginFetchersPerChunk = 64;
     std::vector<std::string> members;
     for (int i = 0; i < 9; i++)
         members.push_back("box-" + std::to_string(i));
@@ -228,12 +228,12 @@
                            faults.m_Fail      = 0.05;
                            const size_t boxes = *rc::gen::inRange<size_t>(6, 16);
                            for (size_t k = 0; k < 2; k++)
-                               faults.m_Dying.insert(*rc::gen::inRange<size_t>(0, boxes));
+                               faults.m_DyingBoxes.insert(*rc::gen::inRange<size_t>(0, boxes));
                            FakeFleet fleet(boxes, *rc::gen::inRange<uint32_t>(4, 60), faults, seed);
                            RC_ASSERT(fleet.Run(60'000));
                            // Rank counts only live members, so each death lets one more member read a chunk.
-                           for (const uint32_t reads : fleet.m_Reads)
-                               RC_ASSERT(reads <= ExchangeConfig{}.m_OriginRanks + faults.m_Dying.size());
+                           for (const uint32_t reads : fleet.m_OriginReadsByChunk)
+                               RC_ASSERT(reads <= ExchangeConfig{}.m_OriginFetchersPerChunk + faults.m_DyingBoxes.size());
                        });
 }
 
@@ -258,13 +258,13 @@
     x.OnPeerUp("a", true);
     x.OnHave("a", {}, true);
     TimePoint now{};
-    for (unsigned k = 0; k < ExchangeConfig{}.m_CorruptMax; k++)
+    for (unsigned k = 0; k < ExchangeConfig{}.m_ExcludeCorruptMin; k++)
     {
         const std::vector<Fetch> fetches = x.Next(now);
         BOOST_REQUIRE_EQUAL(fetches.size(), 1u);
         x.OnChunk(fetches[0].m_Chunk, "a", ChunkOutcome_Corrupt, now);
     }
-    BOOST_CHECK_EQUAL(x.SetAside(), 1u);
+    BOOST_CHECK_EQUAL(x.ExcludedPeers(), 1u);
     BOOST_CHECK(x.Next(now).empty());
     x.OnHave("a", {}, true); // its word no longer counts
     BOOST_CHECK(x.Next(now + seconds(10)).empty());
@@ -279,7 +279,7 @@
     for (int k = 0; !x.Complete(); k++)
         for (const Fetch& f : x.Next({}))
             x.OnChunk(f.m_Chunk, "a", k % 10 == 9 ? ChunkOutcome_Corrupt : ChunkOutcome_Good, {});
-    BOOST_CHECK_EQUAL(x.SetAside(), 0u);
+    BOOST_CHECK_EQUAL(x.ExcludedPeers(), 0u);
 }
 
 // Found by the property below it: holders that had spent their budget refused for ever, and nobody asked urgently.
@@ -297,7 +297,7 @@
         const std::vector<Fetch> f = x.Next({});
         BOOST_REQUIRE_EQUAL(f.size(), 1u);
         BOOST_CHECK(!f[0].m_Urgent);
-        x.OnChunk(0, f[0].m_Peer, ChunkOutcome_Spent, {});
+        x.OnChunk(0, f[0].m_Peer, ChunkOutcome_OverBudget, {});
     }
     const std::vector<Fetch> last = x.Next({});
     BOOST_REQUIRE_EQUAL(last.size(), 1u);
@@ -343,15 +343,15 @@
 BOOST_AUTO_TEST_CASE(each_chunk_is_imported_into_a_data_centre_by_one_box_and_by_the_next_only_after_a_while)
 {
     const ManifestPtr                      m     = MakeTestManifest(12);
-    const std::vector<std::string>         here  = {"a", "b", "c"};
+    const std::vector<std::string>         local = {"a", "b", "c"};
     const ExchangeConfig                   cfg   = {};
     const TimePoint                        start = TimePoint{} + seconds(1);
     std::map<uint32_t, int>                asked;
     std::vector<std::unique_ptr<Exchange>> boxes;
-    for (const std::string& name : here)
+    for (const std::string& name : local)
     {
         boxes.push_back(std::make_unique<Exchange>(m, cfg, std::vector<std::string>{"far"}, name, std::vector<uint32_t>()));
-        boxes.back()->SetImporters(here);
+        boxes.back()->SetImporters(local);
         boxes.back()->OnPeerUp("far", false);
         boxes.back()->OnHave("far", {}, true);
     }
@@ -369,7 +369,7 @@
     BOOST_TEST(asked.size() == 12u);
     for (const auto& [chunk, n] : asked)
         BOOST_TEST(n == 1);
-    ask(*boxes[0], start + 2 * cfg.m_ImportPerRank); // the others' chunks never came here: the next in order steps in
+    ask(*boxes[0], start + 2 * cfg.m_ImportRankDelay); // the others' chunks never came here: the next in order steps in
     BOOST_TEST(boxes[0]->Complete());
 }
 
@@ -382,7 +382,7 @@
         BOOST_REQUIRE_EQUAL(x.AdmitUpload(kChunkSizeMin, false), ChunkOutcome_Good);
         x.OnUploadDone(kChunkSizeMin, true);
     }
-    BOOST_CHECK_EQUAL(x.AdmitUpload(kChunkSizeMin, false), ChunkOutcome_Spent);
+    BOOST_CHECK_EQUAL(x.AdmitUpload(kChunkSizeMin, false), ChunkOutcome_OverBudget);
     BOOST_CHECK_EQUAL(x.AdmitUpload(kChunkSizeMin, true), ChunkOutcome_Good);
 }
 
@@ -393,7 +393,7 @@
     const Status      refused = small.Reserve(*m);
     BOOST_REQUIRE(!refused);
     BOOST_CHECK_EQUAL(refused.error().m_Code, ErrorCode_Limited);
-    BOOST_CHECK_EQUAL(small.Reserved(), 0u);
+    BOOST_CHECK_EQUAL(small.ReservedBytes(), 0u);
 
     Staging staging(4 * kChunkSizeMin);
     BOOST_REQUIRE(staging.Reserve(*m));
@@ -401,7 +401,7 @@
     BOOST_CHECK(!staging.Put(ChunkDigest(*m, 0), wrong));
     BOOST_CHECK(!staging.Has(ChunkDigest(*m, 0)));
     staging.Release(*m);
-    BOOST_CHECK_EQUAL(staging.Reserved(), 0u);
+    BOOST_CHECK_EQUAL(staging.ReservedBytes(), 0u);
 }
 
 BOOST_AUTO_TEST_CASE(versions_share_equal_chunks)
@@ -418,9 +418,9 @@
     Staging             staging(9 * kChunkSizeMin);
     BOOST_REQUIRE(staging.Reserve(*ma));
     BOOST_REQUIRE(staging.Reserve(*mb)); // needs one chunk more, not eight
-    BOOST_CHECK_EQUAL(staging.Reserved(), 9 * kChunkSizeMin);
+    BOOST_CHECK_EQUAL(staging.ReservedBytes(), 9 * kChunkSizeMin);
     staging.Release(*ma);
-    BOOST_CHECK_EQUAL(staging.Reserved(), 8 * kChunkSizeMin);
+    BOOST_CHECK_EQUAL(staging.ReservedBytes(), 8 * kChunkSizeMin);
 }
 
 BOOST_AUTO_TEST_CASE(of_two_neighbours_the_one_whose_queue_is_shorter_is_asked)
@@ -438,8 +438,8 @@
             x.OnPeerUp(peer, true);
             x.OnHave(peer, all, true);
         }
-        x.OnWaited(busy, milliseconds(200), now);
-        x.OnWaited("unknown", milliseconds(200), now);
+        x.OnUploadQueueWait(busy, milliseconds(200), now);
+        x.OnUploadQueueWait("unknown", milliseconds(200), now);
         const auto fetches = x.Next(now);
         BOOST_REQUIRE(fetches.size() == 1u);
         BOOST_TEST(fetches[0].m_Peer != busy);
--- a/tests/test_manifest.cpp
+++ b/tests/test_manifest.cpp
@@ -21,7 +21,7 @@
                            uint64_t covered = 0;
                            for (uint32_t c = 0; c < m.value()->m_ChunkCount; c++)
                            {
-                               const ChunkPlace p = PlaceOf(*m.value(), c);
+                               const ChunkLocation p = LocateChunk(*m.value(), c);
                                RC_ASSERT(Sha256(std::span(bytes[p.m_Shard]).subspan(p.m_Offset, p.m_Length)) == ChunkDigest(*m.value(), c));
                                covered += p.m_Length;
                            }
--- a/tests/test_rollout.cpp
+++ b/tests/test_rollout.cpp
@@ -12,14 +12,14 @@
 {
     std::string                   m_Name;
     Activation                    m_Activation;
-    std::string                   m_Broken; // manifest digest that this box's engine fails to load
+    std::string                   m_FailingVersion; // manifest digest that this box's engine fails to load
     bool                          m_Alive = true;
-    std::vector<ActivationAction> m_Open; // begun, not ended
+    std::vector<ActivationAction> m_PendingActions; // begun, not ended
 };
 
-struct FakeCentre
+struct FakeDataCentre
 {
-    FakeCentre(size_t boxes, size_t per_replica)
+    FakeDataCentre(size_t boxes, size_t per_replica)
     {
         m_Input.m_BoxesPerReplica = per_replica;
         for (size_t i = 0; i < boxes; i++)
@@ -36,7 +36,7 @@
         return plan;
     }
 
-    void Carry(const RolloutPlan& plan)
+    void Deliver(const RolloutPlan& plan)
     {
         for (const PlannedOrder& o : plan.m_Orders)
             for (FakeBox& b : m_Boxes)
@@ -47,14 +47,14 @@
     void Advance(FakeBox& b) // ends one begun action, begins new ones
     {
         for (const ActivationAction& a : b.m_Activation.TakeActions())
-            b.m_Open.push_back(a);
-        if (b.m_Open.empty())
+            b.m_PendingActions.push_back(a);
+        if (b.m_PendingActions.empty())
             return;
-        const ActivationAction a = b.m_Open.front();
-        b.m_Open.erase(b.m_Open.begin());
+        const ActivationAction a = b.m_PendingActions.front();
+        b.m_PendingActions.erase(b.m_PendingActions.begin());
         if (a.m_Type == ActivationAction_Fetch)
             b.m_Activation.OnVerified(a.m_Digest);
-        if (a.m_Type == ActivationAction_EngineLoad && WholeDigest(a.m_Digest) == b.m_Broken)
+        if (a.m_Type == ActivationAction_EngineLoad && WholeDigest(a.m_Digest) == b.m_FailingVersion)
             b.m_Activation.OnLoadFailed(a.m_Digest, "broken");
         else if (a.m_Type == ActivationAction_EngineLoad)
             b.m_Activation.OnLoaded(a.m_Digest, a.m_Digest);
@@ -72,11 +72,11 @@
         return static_cast<size_t>(std::count_if(m_Boxes.begin(), m_Boxes.end(), [](const FakeBox& b) { return b.m_Activation.Active().empty(); }));
     }
 
-    void Settle(int rounds)
+    void RunRounds(int rounds)
     {
         for (int t = 0; t < rounds; t++)
         {
-            Carry(Plan());
+            Deliver(Plan());
             for (FakeBox& b : m_Boxes)
                 Advance(b);
         }
@@ -91,9 +91,9 @@
 
 BOOST_AUTO_TEST_CASE(first_version_goes_everywhere_at_once)
 {
-    FakeCentre dc(6, 1);
+    FakeDataCentre dc(6, 1);
     dc.m_Input.m_Wanted = "v1";
-    dc.Settle(6);
+    dc.RunRounds(6);
     BOOST_CHECK_EQUAL(dc.Serving("v1"), 6u);
 }
 
@@ -102,11 +102,11 @@
     ALDERVALE_PROPERTY("whatever the order in which boxes act, no more than the bound are out of service, and all end on the new version",
                        []
                        {
-                           const size_t per   = *rc::gen::inRange<size_t>(1, 4);
-                           const size_t boxes = per * *rc::gen::inRange<size_t>(2, 6);
-                           FakeCentre   dc(boxes, per);
+                           const size_t   per   = *rc::gen::inRange<size_t>(1, 4);
+                           const size_t   boxes = per * *rc::gen::inRange<size_t>(2, 6);
+                           FakeDataCentre dc(boxes, per);
                            dc.m_Input.m_Wanted = "v1";
-                           dc.Settle(10);
+                           dc.RunRounds(10);
                            RC_ASSERT(dc.Serving("v1") == boxes);
                            dc.m_Input.m_Previous       = "v1";
                            dc.m_Input.m_Wanted         = "v2";
@@ -114,31 +114,31 @@
                            const size_t bound          = std::max(dc.m_Input.m_MaxUnavailable, per);
                            for (int t = 0; t < 400; t++)
                            {
-                               dc.Carry(dc.Plan());
+                               dc.Deliver(dc.Plan());
                                dc.Advance(dc.m_Boxes[*rc::gen::inRange<size_t>(0, boxes)]);
                                RC_ASSERT(dc.OutOfService() <= bound);
                            }
-                           dc.Settle(60);
+                           dc.RunRounds(60);
                            RC_ASSERT(dc.Serving("v2") == boxes);
                        });
 }
 
 BOOST_AUTO_TEST_CASE(failing_version_halts_and_rolls_back)
 {
-    FakeCentre dc(6, 1);
+    FakeDataCentre dc(6, 1);
     dc.m_Input.m_Wanted = "v1";
-    dc.Settle(6);
+    dc.RunRounds(6);
     dc.m_Input.m_Previous = "v1";
     dc.m_Input.m_Wanted   = "v2";
     for (FakeBox& b : dc.m_Boxes)
-        b.m_Broken = "v2";
-    dc.Settle(60);
+        b.m_FailingVersion = "v2";
+    dc.RunRounds(60);
     BOOST_CHECK(dc.m_Input.m_Halted);
     BOOST_CHECK_EQUAL(dc.Serving("v1"), 6u);
     dc.m_Input.m_Previous = "v1"; // a fixed version is declared
     dc.m_Input.m_Wanted   = "v3";
     dc.m_Input.m_Halted   = false;
-    dc.Settle(60);
+    dc.RunRounds(60);
     BOOST_CHECK_EQUAL(dc.Serving("v3"), 6u);
     for (const FakeBox& b : dc.m_Boxes)
         BOOST_CHECK(!b.m_Activation.Versions().contains("v2")); // dropped
@@ -146,13 +146,13 @@
 
 BOOST_AUTO_TEST_CASE(paused_rollout_fetches_but_swaps_nothing)
 {
-    FakeCentre dc(4, 1);
+    FakeDataCentre dc(4, 1);
     dc.m_Input.m_Wanted = "v1";
-    dc.Settle(6);
+    dc.RunRounds(6);
     dc.m_Input.m_Previous = "v1";
     dc.m_Input.m_Wanted   = "v2";
     dc.m_Input.m_Paused   = true;
-    dc.Settle(20);
+    dc.RunRounds(20);
     BOOST_CHECK_EQUAL(dc.Serving("v1"), 4u);
     for (const FakeBox& b : dc.m_Boxes)
         BOOST_CHECK_EQUAL(b.m_Activation.Versions().at("v2").m_State, VersionState_Verified);
@@ -160,28 +160,28 @@
 
 BOOST_AUTO_TEST_CASE(replica_over_boxes_commits_only_when_all_have_verified)
 {
-    FakeCentre dc(4, 2);
+    FakeDataCentre dc(4, 2);
     dc.m_Input.m_Wanted = "v1";
-    dc.Carry(dc.Plan());
+    dc.Deliver(dc.Plan());
     dc.Advance(dc.m_Boxes[0]); // only one box of the first replica verifies
     const RolloutPlan plan = dc.Plan();
     BOOST_CHECK(std::none_of(plan.m_Orders.begin(), plan.m_Orders.end(), [](const PlannedOrder& o) { return o.m_Kind == OrderKind_Commit; }));
-    dc.Settle(10);
+    dc.RunRounds(10);
     BOOST_CHECK_EQUAL(dc.Serving("v1"), 4u);
     BOOST_CHECK_EQUAL(dc.m_Boxes[1].m_Activation.Active(), SliceDigest("v1", 1, 2));
 }
 
 BOOST_AUTO_TEST_CASE(dead_boxes_take_no_orders_and_count_as_unavailable)
 {
-    FakeCentre dc(4, 1);
+    FakeDataCentre dc(4, 1);
     dc.m_Input.m_Wanted = "v1";
-    dc.Settle(6);
+    dc.RunRounds(6);
     dc.m_Boxes[0].m_Alive = false;
     dc.m_Input.m_Previous = "v1";
     dc.m_Input.m_Wanted   = "v2";
-    dc.Settle(30);
+    dc.RunRounds(30);
     BOOST_CHECK_EQUAL(dc.Serving("v2"), 0u); // the bound of one is used up by the dead box
     dc.m_Boxes[0].m_Alive = true;
-    dc.Settle(60);
+    dc.RunRounds(60);
     BOOST_CHECK_EQUAL(dc.Serving("v2"), 4u);
 }
