--- a/src/version/activation.cpp
+++ b/src/version/activation.cpp
@@ -63,7 +63,7 @@
     const std::string base = v.m_Base;
     if (v.m_State == VersionState_Fetching)
     {
-        if (base.empty()) // a later version takes the place of an earlier one that is still on its way
+        if (base.empty()) // replaces an earlier version whose commit is still deferred
             std::erase_if(m_DeferredCommits, [&](const std::string& d) { return m_Versions[d].m_Base.empty(); });
         m_DeferredCommits.push_back(o.m_Digest);
         return;
@@ -75,12 +75,12 @@
             v.m_State = VersionState_Loading;
             m_Actions.push_back({ActivationAction_EngineLoad, o.m_Digest, base, m_Fencing});
         }
-        return; // without its base it stays verified; the controller orders it again once the base serves
+        return; // without its base it stays verified; the controller orders the commit again once the base serves
     }
     if (m_LoadRequested)
     {
         if (m_Pending != o.m_Digest)
-            m_DeferredCommits = {o.m_Digest}; // taken up when the engine has answered
+            m_DeferredCommits = {o.m_Digest}; // committed when the engine has answered
         return;
     }
     m_Pending = o.m_Digest;
@@ -156,7 +156,7 @@
     std::erase(m_DeferredCommits, digest);
 }
 
-// Takes up what was committed while the engine was loading, or while chunks were on their way.
+// Carries out the commits that were deferred while the engine was loading or chunks were being fetched.
 void Activation::RunDeferredCommits()
 {
     const std::vector<std::string> deferred = std::exchange(m_DeferredCommits, {});
@@ -171,7 +171,7 @@
 void Activation::OnLoaded(const std::string& digest, const std::string& confirmed)
 {
     if (confirmed != digest)
-        return OnLoadFailed(digest, "engine confirmed another digest");
+        return OnLoadFailed(digest, "engine loaded a different digest than ordered");
     const auto it = m_Versions.find(digest);
     if (it == m_Versions.end() || it->second.m_State != VersionState_Loading)
         return;
--- a/src/version/agent_weights.cpp
+++ b/src/version/agent_weights.cpp
@@ -1,4 +1,4 @@
-// Weights on one box: orders, transfers, the staging page that the engine reads, and the gate for traffic. See agent_weights.h.
+// Weights on one box: orders, transfers, the staging endpoint that the engine reads from, and admission of requests. See agent_weights.h.
 #include "version/agent_weights.h"
 #include "common/log.h"
 #include "version/transfer_internal.h"
@@ -13,8 +13,8 @@
 constexpr auto   kReportEvery      = milliseconds(200);
 constexpr auto   kReportTimeout    = milliseconds(1000);
 constexpr size_t kLinkBurstBytes   = 256 * 1024;         // bytes
-constexpr auto   kMemberSilenceMax = milliseconds(2000); // a member of a replica that is silent this long closes it
-constexpr size_t kWarmPrefixesMax  = 64;                 // prefixes told in a heartbeat
+constexpr auto   kMemberSilenceMax = milliseconds(2000); // after this long without a heartbeat from a member, its replica takes no requests
+constexpr size_t kWarmPrefixesMax  = 64;                 // cached prompt prefixes listed in a heartbeat
 
 ExchangeMode ParseMode(std::string_view name)
 {
@@ -37,9 +37,9 @@
 
 struct SlicePosition
 {
-    std::string m_Placement;           // name; empty: none
-    size_t      m_ReplicaPosition = 0; // of this box in its replica
-    size_t      m_BoxesPerReplica = 1; // boxes of a replica
+    std::string m_Placement;           // name; empty: no such placement
+    size_t      m_ReplicaPosition = 0; // index of this box among the boxes of its replica
+    size_t      m_BoxesPerReplica = 1; //
 };
 
 SlicePosition FindSlicePosition(const ConfigSnapshot& c, const std::string& box, const std::string& dc, std::string_view placement)
@@ -89,7 +89,7 @@
     awaitable<void> LoadIntoEngine(ActivationAction a);
     awaitable<void> ReportLoop();
     awaitable<void> ServeStaging(HttpRequest& req, HttpReply& reply);
-    bool            GroupOpen(const std::string& slice) const; // every other box of this replica serves the same version
+    bool WholeReplicaServes(const std::string& slice) const; // every other box of this replica serves the same version; caller holds m_Mutex
 
     Daemon&                         m_Daemon;   //
     WeightsSettings                 m_Settings; //
@@ -100,17 +100,17 @@
 
     struct MemberState // another box of this box's replica
     {
-        std::string m_Active;       // slice digest it serves
-        TimePoint   m_ReceivedAt{}; //
+        std::string m_Active;       // slice digest that it serves
+        TimePoint   m_ReceivedAt{}; // time of the last heartbeat
     };
 
     mutable std::mutex                 m_Mutex;            // guards the members below
     Activation                         m_Activation;       //
-    std::map<std::string, TransferPtr> m_Transfers;        // by slice digest; same keys as m_Activation.Versions() plus failed ones
-    std::map<std::string, std::string> m_PlacementBySlice; // placement that ordered a slice
-    EngineReport                       m_Report;           // newest
-    TimePoint                          m_ReportedAt{};     //
-    std::map<std::string, MemberState> m_Members;          // by box
+    std::map<std::string, TransferPtr> m_Transfers;        // by slice digest; of the versions in m_Activation, including failed ones
+    std::map<std::string, std::string> m_PlacementBySlice; // by slice digest: name of the placement that its order was for
+    EngineReport                       m_Report;           // newest report of the engine
+    TimePoint                          m_ReportedAt{};     // when m_Report was received
+    std::map<std::string, MemberState> m_Members;          // by box name
 };
 
 TransferPtr AgentWeights::Impl::FindTransfer(std::string_view slice) const
@@ -276,7 +276,7 @@
 }
 
 //-----------------------------------------------------------------------------
-// Staging page for the engine: /staging/SLICE/manifest and /staging/SLICE/SHARD with Range
+// Staging endpoint for the engine: /staging/SLICE/manifest and /staging/SLICE/SHARD with Range
 //-----------------------------------------------------------------------------
 
 static bool ParseRange(std::string_view text, uint64_t size, uint64_t& begin, uint64_t& end)
@@ -301,7 +301,7 @@
     constexpr std::string_view kPrefix = "/staging/";
     std::string_view           path    = req.Path();
     const size_t               slash   = path.rfind('/');
-    HttpResponse               res     = ErrorResponse(MakeError(ErrorCode_NotFound, "no such weights"));
+    HttpResponse               res     = ErrorResponse(MakeError(ErrorCode_NotFound, "no such slice or shard"));
     const TransferPtr          t =
         path.starts_with(kPrefix) && slash > kPrefix.size() ? FindTransfer(path.substr(kPrefix.size(), slash - kPrefix.size())) : nullptr;
     const ManifestPtr m = t ? t->GetManifest() : nullptr;
@@ -337,7 +337,7 @@
 // Replicas that span boxes
 //-----------------------------------------------------------------------------
 
-bool AgentWeights::Impl::GroupOpen(const std::string& slice) const
+bool AgentWeights::Impl::WholeReplicaServes(const std::string& slice) const
 {
     if (WholeDigest(slice) == slice)
         return true;
@@ -481,7 +481,7 @@
 {
     std::lock_guard    lock(m_Impl->m_Mutex);
     const std::string& active = m_Impl->m_Activation.Active();
-    if (WholeDigest(active) != digest || !m_Impl->GroupOpen(active))
+    if (WholeDigest(active) != digest || !m_Impl->WholeReplicaServes(active))
         return false;
     return m_Impl->m_Activation.RequestBegin(active, adapter);
 }
@@ -528,7 +528,7 @@
 {
     std::lock_guard lock(m_Impl->m_Mutex);
     out.active       = m_Impl->m_Activation.Active();
-    out.group_closed = !out.active.empty() && !m_Impl->GroupOpen(out.active);
+    out.group_closed = !out.active.empty() && !m_Impl->WholeReplicaServes(out.active);
     out.fencing      = m_Impl->m_Activation.Fencing();
     out.running      = m_Impl->m_Report.m_Running;
     out.queued       = m_Impl->m_Report.m_Queued;
--- a/src/version/agent_weights.h
+++ b/src/version/agent_weights.h
@@ -1,13 +1,15 @@
-// aldervale: weights on one box: carries out orders, fetches and serves chunks, hands verified versions to the engine
+// aldervale: weights on one box: carries out orders, fetches and uploads chunks, loads verified versions into the engine
 //
-// The shell around Activation (what to hold and serve), Exchange (what to fetch from whom) and Staging (where bytes wait). It owns the
-// coroutines, the links' frames about weights, and the token bucket on the box's link. Live answers take tokens from the same bucket
-// without waiting, so that weights yield to them.
+// Does the I/O for Activation (which versions to hold and serve), Exchange (which chunk to fetch from which source) and Staging (the memory
+// that holds chunks). It owns the coroutines, handles the frames about weights, and limits the rate on the box's network link with a token
+// bucket. Answers to callers' requests take tokens from the same bucket without waiting, so that transfers of weights yield to them.
+//
+// The engine is the local model server. A slice is the part of a version that one box of a replica holds; see manifest.h.
 //
 // Usage (src/programs/agent.cpp):
 //   AgentWeights weights(daemon, settings, node, store, engine);
-//   node handlers: weights.OnFrame(link, frame) returns false for frames of other parts
-//   std::optional<ServeTicket> t = weights.BeginRequest(digest, adapter);  // gate for traffic
+//   in the node's handlers: weights.OnFrame(link, frame) returns false for frames that aren't about weights
+//   if (weights.BeginRequest(digest, adapter)) { ...; weights.EndRequest(); } // false: refuse the request
 //
 // Index of this file:
 // [SECTION] Settings
@@ -30,14 +32,14 @@
 
 struct WeightsSettings
 {
-    int64_t     m_StagingMib    = 4096;     // bound of staging memory, MiB [weights.staging_mib]
-    double      m_LinkMibS      = 0;        // weights in and out together, MiB/s; 0: no limit [weights.link_mib_s]
-    int64_t     m_Neighbours    = 8;        // boxes dialled per version [weights.neighbours]
-    std::string m_Mode          = "spread"; // or a baseline [weights.mode]
-    int64_t     m_DownloadSlots = 3;        // [weights.download_slots]
-    int64_t     m_UploadSlots   = 3;        // [weights.upload_slots]
-    int64_t     m_TakeOverMs    = 1500;     // [weights.take_over_ms]
-    std::string m_StagingListen;            // where the engine reads from, loopback [weights.staging_listen]
+    int64_t     m_StagingMib    = 4096;     // limit of the staging memory, MiB [weights.staging_mib]
+    double      m_LinkMibS      = 0;        // downloads and uploads of weights together, MiB/s; 0: no limit [weights.link_mib_s]
+    int64_t     m_Neighbours    = 8;        // boxes of this data centre dialled per version [weights.neighbours]
+    std::string m_Mode          = "spread"; // or one of the baselines "origin-only" and "chain" [weights.mode]
+    int64_t     m_DownloadSlots = 3;        // chunk requests to neighbours in flight [weights.download_slots]
+    int64_t     m_UploadSlots   = 3;        // chunk uploads in flight [weights.upload_slots]
+    int64_t     m_TakeOverMs    = 1500;     // ExchangeConfig::m_TakeOverDelay, ms [weights.take_over_ms]
+    std::string m_StagingListen;            // loopback address that the engine reads weights from [weights.staging_listen]
 };
 
 std::vector<SettingSpec> DescribeWeights(WeightsSettings& s);
@@ -59,13 +61,13 @@
     void   OnHeartbeat(const LinkPtr& link, const wire::Heartbeat& hb);
     void   OnFencing(uint64_t fencing);
 
-    bool         BeginRequest(const std::string& digest, const std::string& adapter); // digests of whole manifests; false: not servable here
+    bool         BeginRequest(const std::string& digest, const std::string& adapter); // of whole manifests; true: call EndRequest() later
     void         EndRequest();
-    bool         HoldsSlice() const; // serves or fetches a part of a replica over several boxes
+    bool         HoldsSlice() const; // holds or fetches a slice of a replica that spans several boxes
     uint64_t     RunningRequests() const;
-    void         ChargeAnswerBytes(size_t bytes);                    // bytes of live answers on the box's link
-    void         Describe(wire::AgentStateT& out, bool brief) const; // brief: without versions
-    bool         Fetching() const;                                   // some version is on its way
+    void         ChargeAnswerBytes(size_t bytes);                    // takes bytes of an answer to a caller from the link's token bucket
+    void         Describe(wire::AgentStateT& out, bool brief) const; // brief: without the versions
+    bool         Fetching() const;                                   // some version is being fetched
     json::object DescribeJson() const;
 
     struct Impl;
--- a/src/version/exchange.cpp
+++ b/src/version/exchange.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr auto kQueueWaitMaxAge = milliseconds(400); // what a neighbour told of its queue says little after this long
-constexpr auto kQueueWaitStep   = milliseconds(50);  // waits that differ by less count as the same
+constexpr auto kQueueWaitMaxAge = milliseconds(400); // a reported queue wait is ignored when older than this
+constexpr auto kQueueWaitStep   = milliseconds(50);  // queue waits are compared in steps of this
 
 } // namespace
 
@@ -40,7 +40,7 @@
 
 uint64_t Exchange::TieBreak(uint32_t chunk) const
 {
-    return (chunk + 1) * 0x9E3779B97F4A7C15ull ^ m_SelfHash * 0xC2B2AE3D27D4EB4Full; // Fibonacci hashing; salted by the box
+    return (chunk + 1) * 0x9E3779B97F4A7C15ull ^ m_SelfHash * 0xC2B2AE3D27D4EB4Full; // Fibonacci hashing, salted by the box's name
 }
 
 //-----------------------------------------------------------------------------
@@ -80,7 +80,7 @@
     p.m_OverBudget = true;
 }
 
-bool Exchange::MayAsk(const Peer& p, uint32_t chunk) const
+bool Exchange::MayRequestChunk(const Peer& p, uint32_t chunk) const
 {
     return p.m_Have[chunk] && (!p.m_OverBudget || m_HoldersInBudget[chunk] == 0);
 }
@@ -149,7 +149,7 @@
     m_RemoteSince.assign(m_Have.size(), TimePoint{});
 }
 
-// With importers, a chunk that some box here holds isn't taken from elsewhere, even while that box is busy.
+// With importers, a chunk that a box of this data centre holds isn't taken from another data centre, even while that box is busy.
 bool Exchange::HeldInDataCentre(uint32_t chunk) const
 {
     if (m_ImportMembers.empty())
@@ -173,7 +173,7 @@
     return false;
 }
 
-bool Exchange::MayRequestFrom(const Peer& p, TimePoint now) const
+bool Exchange::IsAvailable(const Peer& p, TimePoint now) const
 {
     return p.m_Up && !p.m_Excluded && p.m_InFlight < m_Config.m_RequestsPerPeer && now >= p.m_PausedUntil;
 }
@@ -207,7 +207,7 @@
     case ExchangeMode_Spread:
         break;
     }
-    if (m_Self == SIZE_MAX) // not in the scope: no share, and no place behind others
+    if (m_Self == SIZE_MAX) // not in the scope: neither a share nor a rank
         return std::nullopt;
     const std::optional<uint32_t> own = BestOfOwnShare();
     if (own || m_OriginInFlight > 0)
@@ -215,7 +215,7 @@
     return BestOfTakeOvers(now);
 }
 
-// The wanted chunk that goes first by m_TieBreaks, of `first`, `first` + `stride`, ...
+// The chunk wanted from the origin with the lowest tie-break among `first`, `first` + `stride`, ...
 std::optional<uint32_t> Exchange::BestOfStride(size_t first, size_t stride) const
 {
     std::optional<uint32_t> best;
@@ -234,8 +234,8 @@
     return m_Self < n ? BestOfStride(m_Self, n) : std::nullopt;
 }
 
-// All sharers have the same number of chunks to fetch first and share the origin's link, so they end at about the same time: from when the
-// own ones are done, the wait before stepping in for others is counted. A slow origin thus delays it by itself.
+// All primary fetchers have shares of the same size and share the origin's link, so they finish at about the same time. The delay before
+// taking over is therefore counted from the end of this box's own share, and a slow origin lengthens it without further settings.
 TimePoint Exchange::OwnShareDoneAt(TimePoint now)
 {
     if (!m_OwnShareDoneAt)
@@ -243,22 +243,23 @@
     return *m_OwnShareDoneAt;
 }
 
-// With n sharers, chunk c starts at member c mod n and goes on with the next sharer. The members behind the sharers come in rounds of n: one
-// in round r stands r places behind the sharer at its own place. Members known dead don't count, so the ones behind them move up. Walking
-// back from the own place gives the chunks of rank 0, 1, ... without looking at all chunks for each.
+// With n primary fetchers, chunk c has rank 0 at member c mod n, rank 1 at the next primary fetcher, and so on. The members behind the
+// primary fetchers follow in rounds of n: one in round r ranks r behind the primary fetcher with the same index mod n. Dead members don't
+// count, so the members behind them move up in rank. Walking back from this box's index visits the shares in which it has rank 0, 1, ...
+// without computing a rank for each chunk.
 std::optional<uint32_t> Exchange::BestOfTakeOvers(TimePoint now)
 {
     const size_t            n     = PrimaryFetcherCount();
-    const size_t            place = m_Self % n;
+    const size_t            index = m_Self % n;
     const size_t            round = m_Self / n;
     const TimePoint         since = OwnShareDoneAt(now);
     std::optional<uint32_t> best;
     size_t                  rank = round;
-    for (size_t back = round == 0 ? 1 : 0; back < n; back++) // a sharer's own share, 0 places back, is done
+    for (size_t back = round == 0 ? 1 : 0; back < n; back++) // back == 0 is the own share of a primary fetcher, which is done
     {
-        const size_t first = (place + n - back) % n;
+        const size_t first = (index + n - back) % n;
         if (back > 0)
-            rank += m_DeadMembers.contains(first) ? 0 : 1; // live sharers from `first` up to, and without, the own place
+            rank += m_DeadMembers.contains(first) ? 0 : 1; // live primary fetchers from `first` up to, but excluding, this box's index
         if (rank >= m_Config.m_OriginFetchersPerChunk)
             break;
         const TimePoint due = since + static_cast<int>(rank) * m_Config.m_TakeOverDelay;
@@ -318,7 +319,7 @@
         std::vector<std::pair<const std::string*, Peer*>> usable;
         for (auto& [name, p] : m_Peers)
         {
-            if (MayRequestFrom(p, now))
+            if (IsAvailable(p, now))
                 usable.emplace_back(&name, &p);
             else if (p.m_Up && now < p.m_PausedUntil)
                 WakeAt(p.m_PausedUntil);
@@ -333,7 +334,7 @@
             bool local  = false;
             bool remote = false;
             for (const auto& u : usable)
-                if (MayAsk(*u.second, c))
+                if (MayRequestChunk(*u.second, c))
                     (u.second->m_SameDataCentre ? local : remote) = true;
             if (local || (remote && !HeldInDataCentre(c) && MayImport(c, now)))
                 best = c;
@@ -344,7 +345,7 @@
         const auto                           cost = [&](const auto& u)
         { return std::tuple(!u.second->m_SameDataCentre, UploadQueueLength(*u.second, now), Hash64(*u.first, m_SelfHash + *best)); };
         for (const auto& u : usable)
-            if (MayAsk(*u.second, *best) && (source.second == nullptr || cost(u) < cost(source)))
+            if (MayRequestChunk(*u.second, *best) && (source.second == nullptr || cost(u) < cost(source)))
                 source = u;
         source.second->m_InFlight++;
         m_DownloadsInFlight++;
@@ -353,7 +354,7 @@
     }
 }
 
-// How full a neighbour's queue of uploads is, in steps of some chunks' time: what it told lately, and what was asked of it since.
+// Estimate of a neighbour's upload queue: its last reported wait in steps of kQueueWaitStep, plus our requests in flight to it.
 size_t Exchange::UploadQueueLength(const Peer& p, TimePoint now) const
 {
     const bool   fresh = p.m_QueueWaitAt != TimePoint{} && now - p.m_QueueWaitAt < kQueueWaitMaxAge;
@@ -383,7 +384,7 @@
 
 void Exchange::OnChunk(uint32_t chunk, const std::string& peer, ChunkOutcome outcome, TimePoint now)
 {
-    BOOST_ASSERT_MSG(chunk < m_Have.size() && m_ChunkRequests[chunk] > 0, "OnChunk() for a chunk that was not in flight");
+    BOOST_ASSERT_MSG(chunk < m_Have.size() && m_ChunkRequests[chunk] > 0, "OnChunk() for a chunk that is not in flight");
     m_ChunkRequests[chunk]--;
     const uint64_t length = LocateChunk(*m_Manifest, chunk).m_Length;
     if (outcome == ChunkOutcome_Good && !m_Have[chunk])
@@ -435,8 +436,8 @@
     }
 }
 
-// While the origin is down nobody's share gets done. The wait before stepping in for others begins anew, or all would read the same few
-// chunks at once when it is back.
+// While the origin is down, no member's share makes progress. The delay before taking over starts again, otherwise all members would read
+// the same few chunks at once when the origin is back.
 void Exchange::OnOriginFailed(ChunkOutcome outcome, TimePoint now)
 {
     m_OriginPausedUntil = now + m_Config.m_OriginPause;
--- a/src/version/manifest.cpp
+++ b/src/version/manifest.cpp
@@ -30,7 +30,7 @@
 {
     const json::value* v = o.if_contains(key);
     if (v == nullptr || !v->is_int64() || v->as_int64() < 0)
-        return FieldError(key, "expected a count");
+        return FieldError(key, "expected a non-negative integer");
     const uint64_t n = static_cast<uint64_t>(v->as_int64());
     if (n < min || n > max)
         return FieldError(key, "out of range");
@@ -40,7 +40,7 @@
 Result<ManifestShard> ReadShard(const json::value& v, const Manifest& m)
 {
     if (!v.is_object())
-        return FieldError("shards", "expected objects");
+        return FieldError("shards", "expected an array of objects");
     ManifestShard shard;
     auto          name = ReadText(v.as_object(), "name", true);
     auto          size = ReadCount(v.as_object(), "size", 1, kChunksMax * kChunkSizeMax);
@@ -49,21 +49,21 @@
     if (!size)
         return size.error();
     if (name.value().empty() || name.value().find('/') != std::string::npos || name.value()[0] == '.')
-        return FieldError("shards.name", "expected a file name");
+        return FieldError("shards.name", "expected a file name without a path");
     shard.m_Name              = name.value();
     shard.m_Size              = size.value();
     shard.m_FirstChunk        = m.m_ChunkCount;
     const json::value* chunks = v.as_object().if_contains("chunks");
     if (chunks == nullptr || !chunks->is_array())
-        return FieldError("shards.chunks", "expected an array");
+        return FieldError("shards.chunks", "expected an array of digests");
     const uint64_t chunk_count = (shard.m_Size + m.m_ChunkSize - 1) / m.m_ChunkSize;
     if (chunks->as_array().size() != chunk_count || chunk_count + m.m_ChunkCount > kChunksMax)
-        return FieldError("shards.chunks", "count doesn't match the size");
+        return FieldError("shards.chunks", "number of chunks doesn't match the size, or is too large");
     for (const json::value& c : chunks->as_array())
     {
         Digest d{};
         if (!c.is_string() || !FromHex(std::string_view(c.as_string()), d))
-            return FieldError("shards.chunks", "expected SHA-256 digests");
+            return FieldError("shards.chunks", "expected SHA-256 digests in hex");
         shard.m_Chunks.push_back(d);
     }
     return shard;
@@ -81,7 +81,7 @@
     json::error_code  ec;
     const json::value v = json::parse(text, ec);
     if (ec || !v.is_object())
-        return FieldError("", "no JSON object");
+        return FieldError("", "expected a JSON object");
     const json::object& o       = v.as_object();
     auto                model   = ReadText(o, "model", true);
     auto                version = ReadText(o, "version", true);
@@ -102,7 +102,7 @@
 
     const json::value* shards = o.if_contains("shards");
     if (shards == nullptr || !shards->is_array() || shards->as_array().empty())
-        return FieldError("shards", "expected at least one");
+        return FieldError("shards", "expected an array of at least one shard");
     for (const json::value& item : shards->as_array())
     {
         auto shard = ReadShard(item, *m);
--- a/src/version/rollout.cpp
+++ b/src/version/rollout.cpp
@@ -28,12 +28,12 @@
         return true;
     }
 
-    bool Available() const // serves one whole version, whichever
+    bool Available() const // its boxes serve the same version, whichever it is
     {
         return !m_Boxes[0].m_Active.empty() && Serves(std::string(WholeDigest(m_Boxes[0].m_Active)));
     }
 
-    bool Ready(const std::string& digest) const // every box has verified its slice, or is further
+    bool Ready(const std::string& digest) const // every box has at least verified its slice
     {
         for (size_t i = 0; i < m_Boxes.size(); i++)
         {
@@ -105,7 +105,7 @@
     }
 }
 
-// What is neither wanted, nor the way back, nor serving is dropped.
+// Drops the versions that are neither declared, nor previous, nor serving, nor a declared adapter.
 void PlanUnloads(RolloutPlan& plan, const RolloutInput& in)
 {
     for (const BoxObservation& b : in.m_Boxes)
--- a/src/version/staging.cpp
+++ b/src/version/staging.cpp
@@ -20,7 +20,7 @@
     for (const auto& [d, n] : missing)
         bytes += n;
     if (m_ReservedBytes + bytes > m_MaxBytes)
-        return MakeError(ErrorCode_Limited, "staging bound reached: " + std::to_string(bytes) + " bytes wanted, " +
+        return MakeError(ErrorCode_Limited, "staging limit exceeded: " + std::to_string(bytes) + " bytes needed, " +
                                                 std::to_string(m_MaxBytes - m_ReservedBytes) + " free");
     m_ReservedBytes += bytes;
     for (uint32_t i = 0; i < m.m_ChunkCount; i++)
@@ -58,7 +58,7 @@
     const auto      it = stripe.m_Entries.find(d);
     if (it != stripe.m_Entries.end() && !it->second.m_Bytes)
         it->second.m_Bytes = std::make_shared<const std::vector<uint8_t>>(std::move(bytes));
-    return true; // without a reservation the bytes are dropped: the version went while they were on their way
+    return true; // without a reservation the bytes are dropped: the version was released while they were being fetched
 }
 
 ChunkBytes Staging::Get(const Digest& d) const
--- a/src/version/staging.h
+++ b/src/version/staging.h
@@ -1,14 +1,14 @@
 // aldervale: staging, the bounded memory that holds verified chunks
 //
-// Chunks are kept once per digest, so versions share what is equal (a delta costs only the chunks that differ). A version reserves its
-// missing bytes before it fetches anything: what doesn't fit is refused, and nothing is evicted for it. Only verified bytes get in.
-// Thread-safe; chunks live in shards, each under its own lock.
+// Chunks are stored once per digest, so versions share equal chunks (a new version costs only the chunks that differ). A version reserves
+// the bytes that are missing before it fetches anything. A version that doesn't fit is refused; nothing is evicted for it. Only verified
+// bytes are stored. Thread-safe: the map of chunks is split into stripes, each under its own lock.
 //
 // Usage:
-//   Status s = staging.Reserve(manifest);                 // ErrorCode_Limited when over the bound
-//   bool good = staging.Put(digest, std::move(bytes));    // false: the bytes are not what the digest says
+//   Status s = staging.Reserve(manifest);                 // ErrorCode_Limited: the version doesn't fit
+//   bool good = staging.Put(digest, std::move(bytes));    // false: the bytes don't match the digest
 //   ChunkBytes c = staging.Get(digest);                   // null if absent
-//   staging.Release(manifest);                            // frees what no other version uses
+//   staging.Release(manifest);                            // frees the chunks that no other version uses
 
 #pragma once
 #include "version/manifest.h"
@@ -28,17 +28,17 @@
 
     Status     Reserve(const Manifest& m);
     void       Release(const Manifest& m);
-    bool       Put(const Digest& d, std::vector<uint8_t> bytes); // verifies; also true when it was there already
+    bool       Put(const Digest& d, std::vector<uint8_t> bytes); // true also if the chunk was stored before, or isn't reserved
     ChunkBytes Get(const Digest& d) const;
     bool       Has(const Digest& d) const { return Get(d) != nullptr; }
-    uint64_t   ReservedBytes() const; // bytes
+    uint64_t   ReservedBytes() const;
     uint64_t   MaxBytes() const { return m_MaxBytes; }
 
 private:
     struct Entry
     {
         ChunkBytes m_Bytes;        // null until Put()
-        unsigned   m_Versions = 0; // versions that reserved it; the slot goes with the last
+        unsigned   m_Versions = 0; // versions that reserved it; the entry is removed with the last one
     };
 
     struct Stripe
@@ -53,9 +53,9 @@
     const Stripe& StripeOf(const Digest& d) const { return m_Stripes[d[0] % kStripes]; }
 
     std::array<Stripe, kStripes> m_Stripes;           //
-    uint64_t                     m_MaxBytes;          // bytes
+    uint64_t                     m_MaxBytes;          //
     mutable std::mutex           m_ReserveMutex;      // guards m_ReservedBytes and serializes Reserve() and Release()
-    uint64_t                     m_ReservedBytes = 0; // bytes of all slots, filled or not; invariant: <= m_MaxBytes
+    uint64_t                     m_ReservedBytes = 0; // of all entries, filled or not; invariant: <= m_MaxBytes
 };
 
 } // namespace aldervale
--- a/src/version/token_bucket.h
+++ b/src/version/token_bucket.h
@@ -1,8 +1,8 @@
-// aldervale: a token bucket over bytes or requests; pure, the caller gives the time
+// aldervale: a token bucket for bytes or requests; pure, the caller passes the time
 //
 // Usage:
 //   TokenBucket b(8 * 1024 * 1024, 256 * 1024, now);    // bytes a second, burst
-//   TimePoint go = b.Reserve(262144, now);              // always granted; wait until `go`, in order of asking
+//   TimePoint go = b.Reserve(262144, now);              // always granted; wait until `go`, in the order of the calls
 
 #pragma once
 #include "common/clock.h"
@@ -16,7 +16,7 @@
 public:
     TokenBucket(double rate, double burst, TimePoint now) : m_Rate(rate), m_Burst(burst), m_Tokens(burst), m_RefilledAt(now) {}
 
-    // Takes n tokens, going into debt; returns when the debt is paid off. A rate of 0 means no limit.
+    // Takes n tokens, below zero if need be; returns the time when the bucket is back at zero. A rate of 0 means no limit.
     TimePoint Reserve(double n, TimePoint now)
     {
         if (m_Rate <= 0)
@@ -26,7 +26,7 @@
         return m_Tokens >= 0 ? now : now + FromSeconds(-m_Tokens / m_Rate);
     }
 
-    // Takes n tokens only if they are there.
+    // Takes n tokens only if the bucket holds as many.
     bool TryTake(double n, TimePoint now)
     {
         if (m_Rate <= 0)
@@ -38,7 +38,7 @@
         return true;
     }
 
-    // When n tokens will be there.
+    // Returns when the bucket will hold n tokens; takes none.
     TimePoint AvailableAt(double n, TimePoint now)
     {
         if (m_Rate <= 0)
@@ -67,9 +67,9 @@
     }
 
     double    m_Rate;       // tokens a second; 0: no limit
-    double    m_Burst;      // tokens that may gather
-    double    m_Tokens;     // below 0: debt
-    TimePoint m_RefilledAt; // time of the last refill; never falls
+    double    m_Burst;      // capacity, tokens
+    double    m_Tokens;     // below 0: taken in advance
+    TimePoint m_RefilledAt; // time of the last refill; never goes back
 };
 
 } // namespace aldervale
--- a/src/version/transfer.cpp
+++ b/src/version/transfer.cpp
@@ -1,4 +1,4 @@
-// One version on its way to, and out of, this box: the coroutines around Exchange. See transfer_internal.h.
+// Download and upload of one version's weights: the coroutines around Exchange. See transfer_internal.h for the terms.
 #include "common/log.h"
 #include "version/transfer_internal.h"
 
@@ -9,22 +9,23 @@
 {
 
 constexpr auto   kOriginManifestTimeout    = milliseconds(3000); // one read from the origin
-constexpr auto   kNeighbourManifestTimeout = milliseconds(500);  // one question to a neighbour
-constexpr auto   kManifestFallback         = milliseconds(3000); // without an answer from neighbours, ask the origin after this
-constexpr auto   kRetryPause               = milliseconds(200);
-constexpr auto   kAnnounceEvery            = milliseconds(40); // HaveUpdates are batched this long
-constexpr auto   kEarlyPhase               = seconds(2);
-constexpr auto   kProgressCheckEvery       = milliseconds(500);
-constexpr auto   kStalledAfter             = milliseconds(3000); // nothing moved for this long: look beyond the scope
-constexpr size_t kManifestFetchers         = 3;                  // members of a scope that read the manifest from the origin at once
-constexpr size_t kOutsidePerDc             = 2;                  // boxes of each other data centre tried when stuck
-constexpr size_t kRemotePerDc              = 2;                  // boxes of each other data centre in the scope
+constexpr auto   kNeighbourManifestTimeout = milliseconds(500);  // one request to a neighbour
+constexpr auto   kManifestFallback         = milliseconds(3000); // then every box also reads the manifest from the origin
+constexpr auto   kRetryPause               = milliseconds(200);  // between attempts to obtain the manifest
+constexpr auto   kAnnounceEvery            = milliseconds(40);   // HaveUpdates are batched for this long; twice that after kEarlyPhase
+constexpr auto   kEarlyPhase               = seconds(2);         // from the start of the transfer
+constexpr auto   kProgressCheckEvery       = milliseconds(500);  // longest pause between two looks for a stall or fetches that are due
+constexpr auto   kStalledAfter             = milliseconds(3000); // no chunk verified for this long: dial boxes outside the scope
+constexpr size_t kManifestFetchers         = 3;                  // members of a scope that read the manifest from the origin at the start
+constexpr size_t kOutsidePerDc             = 2;                  // boxes of each other data centre dialled when the transfer has stalled
+constexpr size_t kRemotePerDc              = 2;                  // boxes of each other data centre dialled at the start, of those in the scope
 
 } // namespace
 
-Transfer::Transfer(std::shared_ptr<TransferShared> shared, std::string placement, std::string slice, size_t position, size_t count)
-    : m_Shared(std::move(shared)), m_Placement(std::move(placement)), m_Slice(std::move(slice)), m_ReplicaPosition(position),
-      m_BoxesPerReplica(count), m_StartedAt(Now()), m_LastChunkAt(m_StartedAt)
+Transfer::Transfer(std::shared_ptr<TransferShared> shared, std::string placement, std::string slice, size_t replica_position,
+                   size_t boxes_per_replica)
+    : m_Shared(std::move(shared)), m_Placement(std::move(placement)), m_Slice(std::move(slice)), m_ReplicaPosition(replica_position),
+      m_BoxesPerReplica(boxes_per_replica), m_StartedAt(Now()), m_LastChunkAt(m_StartedAt)
 {
 }
 
@@ -89,7 +90,7 @@
 // Neighbours
 //-----------------------------------------------------------------------------
 
-// Boxes at the same position of their replicas: they hold the same slice.
+// Boxes at the same position of their replicas hold the same slice. This box is always included.
 std::vector<std::string> Transfer::SliceMembers(bool whole_fleet) const
 {
     const ConfigPtr          c    = m_Shared->m_Node.Config();
@@ -201,7 +202,7 @@
 {
     for (;;)
     {
-        // Early on every chunk is rare and news of it worth much; later batches may be larger.
+        // At the start every chunk is rare, so its holders are announced quickly; later batches may be larger.
         co_await SleepFor(Now() - m_StartedAt < kEarlyPhase ? kAnnounceEvery : 2 * kAnnounceEvery);
         wire::HaveUpdateT     msg;
         std::set<std::string> to;
@@ -228,7 +229,7 @@
     }
 }
 
-// Wakes the exchange when time alone changes what it may do, and looks beyond the scope when nothing moves.
+// Starts fetches that become due by time alone, and dials boxes outside the scope once when the transfer has stalled.
 awaitable<void> Transfer::ProgressLoop()
 {
     bool outside_dialled = false;
@@ -282,7 +283,8 @@
     co_return nullptr;
 }
 
-// A few members of the scope read it from the origin; the others ask their neighbours, and the origin only as a last resort.
+// A few members of the scope read the manifest from the origin; the others request it from neighbours and read from the origin only after
+// kManifestFallback.
 awaitable<ManifestPtr> Transfer::ObtainManifest()
 {
     const std::vector<std::string> members = SliceMembers(false);
--- a/tests/test_activation.cpp
+++ b/tests/test_activation.cpp
@@ -1,4 +1,4 @@
-// Activation: stale orders, swaps under running requests, failures, random interleavings.
+// Activation: stale orders, version changes while requests run, failures, random interleavings.
 #include "support.h"
 #include "version/activation.h"
 
@@ -52,7 +52,7 @@
     BOOST_CHECK_EQUAL(a.Versions().at("v1").m_State, VersionState_Failed);
 }
 
-BOOST_AUTO_TEST_CASE(swap_waits_for_running_requests_and_refuses_new_ones)
+BOOST_AUTO_TEST_CASE(version_change_waits_for_running_requests_and_refuses_new_ones)
 {
     Activation a = Serving("v1");
     a.OnOrder(MakeOrder(1, 2, OrderKind_Prepare, "v2"));
@@ -60,7 +60,7 @@
     BOOST_REQUIRE(a.RequestBegin("v1", ""));
     a.TakeActions();
     a.OnOrder(MakeOrder(1, 3, OrderKind_Commit, "v2"));
-    BOOST_CHECK(a.TakeActions().empty()); // one request still runs
+    BOOST_CHECK(a.TakeActions().empty()); // one request is still running
     BOOST_CHECK(!a.RequestBegin("v1", ""));
     a.RequestEnd();
     BOOST_CHECK(Has(a.TakeActions(), ActivationAction_EngineLoad, "v2"));
@@ -102,7 +102,7 @@
     BOOST_CHECK(a.TakeActions().empty());
 }
 
-BOOST_AUTO_TEST_CASE(version_changed_twice_in_flight_ends_at_the_last)
+BOOST_AUTO_TEST_CASE(version_changed_twice_while_fetching_ends_at_the_last)
 {
     Activation a;
     a.OnOrder(MakeOrder(1, 1, OrderKind_Commit, "v1"));
@@ -118,7 +118,7 @@
     BOOST_CHECK(a.MayServe("v3"));
 }
 
-BOOST_AUTO_TEST_CASE(adapter_goes_only_on_its_base)
+BOOST_AUTO_TEST_CASE(adapter_is_loaded_only_on_its_base)
 {
     Activation a = Serving("v1");
     a.OnOrder(MakeOrder(1, 2, OrderKind_Commit, "ad", "v0"));
@@ -130,13 +130,13 @@
     a.OnLoaded("ad2", "ad2");
     BOOST_CHECK(a.MayServe("v1", "ad2"));
     BOOST_CHECK(!a.MayServe("v1", "ad"));
-    a.OnOrder(MakeOrder(1, 4, OrderKind_Commit, "v2")); // a new base takes its adapters out of service
+    a.OnOrder(MakeOrder(1, 4, OrderKind_Commit, "v2")); // a new base unloads the adapters of the old one
     a.OnVerified("v2");
     a.OnLoaded("v2", "v2");
     BOOST_CHECK(!a.MayServe("v2", "ad2"));
 }
 
-BOOST_AUTO_TEST_CASE(engine_restart_closes_the_gate_until_loaded_again)
+BOOST_AUTO_TEST_CASE(engine_restart_stops_serving_until_the_version_is_loaded_again)
 {
     Activation a = Serving("v1");
     a.OnEngineRestart();
--- a/tests/test_exchange.cpp
+++ b/tests/test_exchange.cpp
@@ -1,4 +1,4 @@
-// Chunk exchange: a small fake network of boxes in one thread, with deaths, corruption, refusals and a shared origin.
+// Chunk exchange: a fake network of boxes in one thread, with dying boxes, corruption, refusals and a shared origin.
 #include "support.h"
 #include "version/exchange.h"
 #include "version/staging.h"
@@ -21,11 +21,11 @@
 {
     double           m_Corrupt = 0;               // share of transfers between boxes that arrive corrupt
     double           m_Fail    = 0;               // share of transfers that fail
-    std::set<size_t> m_DyingBoxes;                // boxes that die half way
+    std::set<size_t> m_DyingBoxes;                // boxes that die when they have half of the chunks
     uint32_t         m_OriginDiesAt = UINT32_MAX; // reads after which the origin is down
 };
 
-// Boxes in a ring of neighbours; time moves in ticks of 10 ms; a transfer takes one tick.
+// Boxes in a ring, each linked to its nearest ones; time advances in ticks of 10 ms, and a transfer takes one tick.
 struct FakeFleet
 {
     FakeFleet(size_t boxes, uint32_t chunks, const Faults& faults, uint64_t seed, const ExchangeConfig& cfg = {})
@@ -43,7 +43,7 @@
         m_OriginReadsByChunk.assign(chunks, 0);
     }
 
-    bool Neighbours(size_t i, size_t j) const // a ring with three on each side: connected, also when boxes die singly
+    bool Neighbours(size_t i, size_t j) const // three on each side, so that the ring stays connected when single boxes die
     {
         const size_t n = m_Names.size();
         const size_t d = (i + n - j) % n;
@@ -153,9 +153,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(undisturbed_copy_reads_the_origin_once)
+BOOST_AUTO_TEST_CASE(copy_without_faults_reads_each_chunk_from_the_origin_once)
 {
-    ALDERVALE_PROPERTY("one copy from the origin, all complete, uploads within budget",
+    ALDERVALE_PROPERTY("one copy from the origin, all boxes complete, uploads within budget",
                        [](uint64_t seed)
                        {
                            const size_t   boxes  = *rc::gen::inRange<size_t>(1, 20);
@@ -175,7 +175,7 @@
         BOOST_CHECK_EQUAL(box->BytesFromOrigin(), 10 * kChunkSizeMin);
 }
 
-BOOST_AUTO_TEST_CASE(an_origin_that_takes_few_connections_is_read_by_few_members)
+BOOST_AUTO_TEST_CASE(only_primary_fetchers_read_from_the_origin)
 {
     constexpr size_t   kPrimaryFetchers = 5;
     constexpr uint32_t kChunks          = 60;
@@ -194,7 +194,7 @@
     BOOST_TEST(fleet.m_OriginReads == kChunks);
 }
 
-BOOST_AUTO_TEST_CASE(members_behind_the_sharers_step_in_when_these_are_silent)
+BOOST_AUTO_TEST_CASE(other_members_take_over_when_the_primary_fetchers_fetch_nothing)
 {
     constexpr uint32_t kChunks = 20;
     const auto         m       = MakeTestManifest(kChunks);
@@ -204,7 +204,7 @@
     std::vector<std::string> members;
     for (int i = 0; i < 9; i++)
         members.push_back("box-" + std::to_string(i));
-    for (const std::string& self : members) // alone: nobody else is heard of
+    for (const std::string& self : members) // each member alone: it has no neighbours
     {
         Exchange  x(m, cfg, members, self, {});
         TimePoint now{};
@@ -220,7 +220,7 @@
 
 BOOST_AUTO_TEST_CASE(copy_completes_under_deaths_and_corruption_within_the_origin_cap)
 {
-    ALDERVALE_PROPERTY("all that live complete; no chunk is read from the origin beyond the cap",
+    ALDERVALE_PROPERTY("all live boxes complete; no chunk is read from the origin more often than the cap allows",
                        [](uint64_t seed)
                        {
                            Faults faults;
@@ -231,15 +231,15 @@
                                faults.m_DyingBoxes.insert(*rc::gen::inRange<size_t>(0, boxes));
                            FakeFleet fleet(boxes, *rc::gen::inRange<uint32_t>(4, 60), faults, seed);
                            RC_ASSERT(fleet.Run(60'000));
-                           // Rank counts only live members, so each death lets one more member read a chunk.
+                           // Only live members count for the rank, so each death lets one more member read a chunk.
                            for (const uint32_t reads : fleet.m_OriginReadsByChunk)
                                RC_ASSERT(reads <= ExchangeConfig{}.m_OriginFetchersPerChunk + faults.m_DyingBoxes.size());
                        });
 }
 
-BOOST_AUTO_TEST_CASE(one_copy_out_is_enough_when_the_origin_dies)
+BOOST_AUTO_TEST_CASE(copy_completes_when_the_origin_fails_after_one_copy)
 {
-    ALDERVALE_PROPERTY("the copy completes from peers after the origin gave each chunk once",
+    ALDERVALE_PROPERTY("the copy completes from neighbours after the origin sent each chunk once",
                        [](uint64_t seed)
                        {
                            const uint32_t chunks = *rc::gen::inRange<uint32_t>(1, 60);
@@ -251,7 +251,7 @@
                        });
 }
 
-BOOST_AUTO_TEST_CASE(corrupt_sender_is_set_aside)
+BOOST_AUTO_TEST_CASE(neighbour_that_sends_corrupt_chunks_is_excluded)
 {
     const ManifestPtr m = MakeTestManifest(8);
     Exchange          x(m, {}, {"a", "b"}, "c", {});
@@ -266,11 +266,11 @@
     }
     BOOST_CHECK_EQUAL(x.ExcludedPeers(), 1u);
     BOOST_CHECK(x.Next(now).empty());
-    x.OnHave("a", {}, true); // its word no longer counts
+    x.OnHave("a", {}, true); // announcements of an excluded neighbour are ignored
     BOOST_CHECK(x.Next(now + seconds(10)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(rare_corruption_sets_nobody_aside)
+BOOST_AUTO_TEST_CASE(rare_corruption_excludes_no_neighbour)
 {
     const ManifestPtr m = MakeTestManifest(100);
     Exchange          x(m, {}, {"a", "b"}, "c", {});
@@ -282,8 +282,8 @@
     BOOST_CHECK_EQUAL(x.ExcludedPeers(), 0u);
 }
 
-// Found by the property below it: holders that had spent their budget refused for ever, and nobody asked urgently.
-BOOST_AUTO_TEST_CASE(spent_holders_are_asked_urgently_when_no_other_is_left)
+// Guards against a deadlock: all holders of a chunk refuse as over budget, and the box never marks its request as urgent.
+BOOST_AUTO_TEST_CASE(holders_over_budget_get_urgent_requests_when_no_other_is_left)
 {
     const ManifestPtr m = MakeTestManifest(1);
     Exchange          x(m, {}, {"a", "b"}, "c", {});
@@ -304,7 +304,7 @@
     BOOST_CHECK(last[0].m_Urgent);
 }
 
-BOOST_AUTO_TEST_CASE(silent_neighbour_is_left_alone_and_another_asked)
+BOOST_AUTO_TEST_CASE(unresponsive_neighbour_is_paused_and_another_gets_the_request)
 {
     const ManifestPtr m = MakeTestManifest(1);
     Exchange          x(m, {}, {"a", "b"}, "c", {});
@@ -321,8 +321,9 @@
     BOOST_CHECK_NE(second[0].m_Peer, first[0].m_Peer);
 }
 
-// Seen on trouble-2 (seed 801153320391) of the bench: one box froze while only it had some chunks, and nobody went on for 8 s.
-BOOST_AUTO_TEST_CASE(what_only_a_frozen_neighbour_has_is_fetched_elsewhere)
+// Guards against a stall of 8 s (scenario trouble-2, seed 801153320391): a box freezes while it is the only holder of some chunks, and the
+// others wait for it instead of reading them from the origin.
+BOOST_AUTO_TEST_CASE(chunks_that_only_a_frozen_neighbour_has_are_fetched_from_the_origin)
 {
     const ManifestPtr m = MakeTestManifest(4);
     ExchangeConfig    cfg;
@@ -340,7 +341,7 @@
     BOOST_TEST(x.Complete());
 }
 
-BOOST_AUTO_TEST_CASE(each_chunk_is_imported_into_a_data_centre_by_one_box_and_by_the_next_only_after_a_while)
+BOOST_AUTO_TEST_CASE(each_chunk_is_imported_by_one_box_of_a_data_centre_and_by_the_next_only_after_a_delay)
 {
     const ManifestPtr                      m     = MakeTestManifest(12);
     const std::vector<std::string>         local = {"a", "b", "c"};
@@ -369,11 +370,11 @@
     BOOST_TEST(asked.size() == 12u);
     for (const auto& [chunk, n] : asked)
         BOOST_TEST(n == 1);
-    ask(*boxes[0], start + 2 * cfg.m_ImportRankDelay); // the others' chunks never came here: the next in order steps in
+    ask(*boxes[0], start + 2 * cfg.m_ImportRankDelay); // the other boxes never announced their chunks: the next in order imports them
     BOOST_TEST(boxes[0]->Complete());
 }
 
-BOOST_AUTO_TEST_CASE(urgent_request_passes_the_upload_budget)
+BOOST_AUTO_TEST_CASE(urgent_request_is_served_beyond_the_upload_budget)
 {
     const ManifestPtr m = MakeTestManifest(4);
     Exchange          x(m, {}, {"a"}, "a", {0, 1, 2, 3});
@@ -386,7 +387,7 @@
     BOOST_CHECK_EQUAL(x.AdmitUpload(kChunkSizeMin, true), ChunkOutcome_Good);
 }
 
-BOOST_AUTO_TEST_CASE(staging_takes_only_verified_bytes_within_its_bound)
+BOOST_AUTO_TEST_CASE(staging_stores_only_verified_bytes_within_its_limit)
 {
     const ManifestPtr m = MakeTestManifest(4);
     Staging           small(2 * kChunkSizeMin);
@@ -423,7 +424,7 @@
     BOOST_CHECK_EQUAL(staging.ReservedBytes(), 8 * kChunkSizeMin);
 }
 
-BOOST_AUTO_TEST_CASE(of_two_neighbours_the_one_whose_queue_is_shorter_is_asked)
+BOOST_AUTO_TEST_CASE(neighbour_with_the_shorter_upload_queue_gets_the_request)
 {
     const ManifestPtr m = MakeTestManifest(8);
     ExchangeConfig    cfg;
--- a/tests/test_manifest.cpp
+++ b/tests/test_manifest.cpp
@@ -1,4 +1,4 @@
-// Manifests: digests, places of chunks, slices, malformed text.
+// Manifests: digests, locations of chunks, slices, malformed text.
 #include "support.h"
 #include "version/manifest.h"
 
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_CASE(chunks_cover_every_byte_once)
 {
-    ALDERVALE_PROPERTY("places of a random manifest tile its shards, and digests match the bytes",
+    ALDERVALE_PROPERTY("the chunks of a random manifest cover its shards, and digests match the bytes",
                        []
                        {
                            std::vector<std::vector<uint8_t>> bytes;
@@ -38,7 +38,7 @@
                        });
 }
 
-BOOST_AUTO_TEST_CASE(digest_that_is_not_the_manifests_is_refused)
+BOOST_AUTO_TEST_CASE(manifest_with_another_digest_is_refused)
 {
     const std::vector<uint8_t> bytes(100, 1);
     const ManifestInput        shard{"s", bytes};
@@ -47,7 +47,7 @@
     BOOST_CHECK_EQUAL(ParseManifest(text + " ", ToHex(Sha256(text))).error().m_Field, "manifest.digest");
 }
 
-BOOST_AUTO_TEST_CASE(malformed_manifests_name_the_field)
+BOOST_AUTO_TEST_CASE(errors_of_malformed_manifests_name_the_field)
 {
     const auto field = [](std::string_view text) { return ParseManifest(text, "").error().m_Field; };
     BOOST_CHECK_EQUAL(field("[]"), "manifest.");
--- a/tests/test_rollout.cpp
+++ b/tests/test_rollout.cpp
@@ -1,4 +1,4 @@
-// Rollouts against fake boxes that run a real Activation each: waves, bounds, halts, replicas over several boxes.
+// Rollouts on fake boxes that each run a real Activation: waves, the limit of unavailable boxes, halts, replicas that span several boxes.
 #include "support.h"
 #include "version/manifest.h"
 #include "version/rollout.h"
@@ -14,7 +14,7 @@
     Activation                    m_Activation;
     std::string                   m_FailingVersion; // manifest digest that this box's engine fails to load
     bool                          m_Alive = true;
-    std::vector<ActivationAction> m_PendingActions; // begun, not ended
+    std::vector<ActivationAction> m_PendingActions; // taken from m_Activation, not yet completed
 };
 
 struct FakeDataCentre
@@ -44,7 +44,7 @@
                     b.m_Activation.OnOrder({1, ++m_OrderId, o.m_Kind, o.m_Digest, o.m_Base});
     }
 
-    void Advance(FakeBox& b) // ends one begun action, begins new ones
+    void Advance(FakeBox& b) // takes new actions and completes the oldest one
     {
         for (const ActivationAction& a : b.m_Activation.TakeActions())
             b.m_PendingActions.push_back(a);
@@ -97,9 +97,9 @@
     BOOST_CHECK_EQUAL(dc.Serving("v1"), 6u);
 }
 
-BOOST_AUTO_TEST_CASE(max_unavailable_is_never_passed)
+BOOST_AUTO_TEST_CASE(max_unavailable_is_never_exceeded)
 {
-    ALDERVALE_PROPERTY("whatever the order in which boxes act, no more than the bound are out of service, and all end on the new version",
+    ALDERVALE_PROPERTY("in any order of the boxes' steps, no more boxes than the limit are out of service, and all end on the new version",
                        []
                        {
                            const size_t   per   = *rc::gen::inRange<size_t>(1, 4);
@@ -180,7 +180,7 @@
     dc.m_Input.m_Previous = "v1";
     dc.m_Input.m_Wanted   = "v2";
     dc.RunRounds(30);
-    BOOST_CHECK_EQUAL(dc.Serving("v2"), 0u); // the bound of one is used up by the dead box
+    BOOST_CHECK_EQUAL(dc.Serving("v2"), 0u); // the dead box uses up the limit of one
     dc.m_Boxes[0].m_Alive = true;
     dc.RunRounds(60);
     BOOST_CHECK_EQUAL(dc.Serving("v2"), 4u);
