--- a/src/version/piece_transfer_fetch.cpp
+++ b/src/version/piece_transfer_fetch.cpp
@@ -41,7 +41,7 @@
     if (good || timed_out)
         AdaptSlots(job, took - std::min(took, answer.m_Waited)); // the wait in the neighbour's queue is not time on this box's link
     if (good)
-        job.m_Exchange->OnWaited(peer, answer.m_Waited, Now());
+        job.m_Exchange->OnUploadQueueWait(peer, answer.m_Waited, Now());
     if (failed)
         RequestInventory(job.m_Version, peer);
 }
@@ -132,8 +132,8 @@
 
 awaitable<ChunkOutcome> PieceTransfer::FromOrigin(std::shared_ptr<Job> job, uint32_t n)
 {
-    auto bytes =
-        co_await m_Origin.ReadPiece(m_DeclaredOrigin->m_Address, m_Model, job->m_Version, n, job->m_Exchange->SharesMore(), Now() + kOriginTimeout);
+    auto bytes = co_await m_Origin.ReadPiece(m_DeclaredOrigin->m_Address, m_Model, job->m_Version, n, job->m_Exchange->HasOwnShareLeft(),
+                                             Now() + kOriginTimeout);
     if (!bytes || job->m_Finished)
     {
         if (!bytes)
--- a/src/version/piece_transfer_job.cpp
+++ b/src/version/piece_transfer_job.cpp
@@ -33,17 +33,17 @@
 ExchangeConfig TransferConfig(const std::optional<WeightOrigin>& origin, uint32_t piece_bytes)
 {
     ExchangeConfig c;
-    c.m_DownloadSlots = kPieceSlotsFirst;
-    c.m_OriginSlots   = 2; // with 1 the origin's link was half idle: a piece also queues on the reading box's link, behind those from neighbours
-    c.m_PerPeer       = 2;
-    c.m_OriginRanks   = 64; // no limit on copies: a piece that no box has must be read; boxes of each further rank only read it later
-    c.m_TakeOver      = milliseconds(900);
-    c.m_BusyPause     = milliseconds(30);
-    c.m_StallPause    = milliseconds(1000);
-    c.m_ChunkTimeout  = kPieceTimeout;
-    c.m_OriginPause   = milliseconds(150);
-    c.m_ForgetStalled = true;
-    c.m_OriginSharers = OriginSharers(origin, piece_bytes);
+    c.m_DownloadSlots   = kPieceSlotsFirst;
+    c.m_OriginSlots     = 2; // with 1 the origin's link was half idle: a piece also queues on the reading box's link, behind those from neighbours
+    c.m_RequestsPerPeer = 2;
+    c.m_OriginFetchersPerChunk = 64; // no limit on copies: a piece that no box has must be read; boxes of each further rank only read it later
+    c.m_TakeOverDelay          = milliseconds(900);
+    c.m_BusyPause              = milliseconds(30);
+    c.m_StallPause             = milliseconds(1000);
+    c.m_ChunkTimeout           = kPieceTimeout;
+    c.m_OriginPause            = milliseconds(150);
+    c.m_ForgetStalled          = true;
+    c.m_PrimaryFetchers        = OriginSharers(origin, piece_bytes);
     return c;
 }
 
@@ -192,7 +192,7 @@
         return;
     }
     const TimePoint now = Now();
-    job->m_Exchange->HoldOrigin(!m_DeclaredOrigin || now < job->m_OriginAllowedAt);
+    job->m_Exchange->SuspendOrigin(!m_DeclaredOrigin || now < job->m_OriginAllowedAt);
     for (const Fetch& f : job->m_Exchange->Next(now))
     {
         if (job->m_Finished)
--- a/tests/test_exchange.cpp
+++ b/tests/test_exchange.cpp
@@ -1,4 +1,4 @@
-// Chunk exchange: a small fake network of boxes in one thread, with deaths, corruption, refusals and a shared origin.
+// Chunk exchange: a fake network of boxes in one thread, with dying boxes, corruption, refusals and a shared origin.
 #include "support.h"
 #include "version/exchange.h"
 #include "version/staging.h"
@@ -21,11 +21,11 @@
 {
     double           m_Corrupt = 0;               // share of transfers between boxes that arrive corrupt
     double           m_Fail    = 0;               // share of transfers that fail
-    std::set<size_t> m_Dying;                     // boxes that die half way
+    std::set<size_t> m_DyingBoxes;                // boxes that die when they have half of the chunks
     uint32_t         m_OriginDiesAt = UINT32_MAX; // reads after which the origin is down
 };
 
-// Boxes in a ring of neighbours; time moves in ticks of 10 ms; a transfer takes one tick.
+// Boxes in a ring, each linked to its nearest ones; time advances in ticks of 10 ms, and a transfer takes one tick.
 struct FakeFleet
 {
     FakeFleet(size_t boxes, uint32_t chunks, const Faults& faults, uint64_t seed, const ExchangeConfig& cfg = {})
@@ -40,42 +40,42 @@
                 if (Neighbours(i, j))
                     m_Boxes[i]->OnPeerUp(m_Names[j], true);
         m_Dead.assign(boxes, false);
-        m_Reads.assign(chunks, 0);
+        m_OriginReadsByChunk.assign(chunks, 0);
     }
 
-    bool Neighbours(size_t i, size_t j) const // a ring with three on each side: connected, also when boxes die singly
+    bool Neighbours(size_t i, size_t j) const // three on each side, so that the ring stays connected when single boxes die
     {
         const size_t n = m_Names.size();
         const size_t d = (i + n - j) % n;
         return i != j && (d <= 3 || n - d <= 3);
     }
 
-    bool Chance(double share) { return static_cast<double>(m_Random() >> 11) * 0x1p-53 < share; }
+    bool RandomTrue(double share) { return static_cast<double>(m_Random() >> 11) * 0x1p-53 < share; }
 
     ChunkOutcome FromPeer(size_t from, const Fetch& f)
     {
-        if (m_Dead[from] || Chance(m_Faults.m_Fail))
+        if (m_Dead[from] || RandomTrue(m_Faults.m_Fail))
             return ChunkOutcome_Failed;
         if (!m_Boxes[from]->Has(f.m_Chunk))
             return ChunkOutcome_Missing;
-        const uint64_t     before   = m_Boxes[from]->BytesUploaded();
+        const uint64_t     uploaded = m_Boxes[from]->BytesUploaded();
         const ChunkOutcome admitted = m_Boxes[from]->AdmitUpload(kChunkSizeMin, f.m_Urgent);
         if (admitted != ChunkOutcome_Good)
             return admitted;
-        m_OverBudget += !f.m_Urgent && static_cast<double>(before + kChunkSizeMin) > 1.05 * static_cast<double>(m_Manifest->m_Size) ? 1 : 0;
+        m_OverBudget += !f.m_Urgent && static_cast<double>(uploaded + kChunkSizeMin) > 1.05 * static_cast<double>(m_Manifest->m_Size) ? 1 : 0;
         m_Uploading.push_back(from);
-        return Chance(m_Faults.m_Corrupt) ? ChunkOutcome_Corrupt : ChunkOutcome_Good;
+        return RandomTrue(m_Faults.m_Corrupt) ? ChunkOutcome_Corrupt : ChunkOutcome_Good;
     }
 
     void Tick()
     {
-        struct Landing
+        struct Transfer
         {
             size_t       m_Box;
             Fetch        m_Fetch;
             ChunkOutcome m_Outcome;
         };
-        std::vector<Landing> landings;
+        std::vector<Transfer> transfers;
         for (size_t i = 0; i < m_Boxes.size(); i++)
         {
             if (m_Dead[i])
@@ -85,20 +85,20 @@
                 if (!f.m_Peer.empty())
                 {
                     const size_t from = static_cast<size_t>(std::find(m_Names.begin(), m_Names.end(), f.m_Peer) - m_Names.begin());
-                    landings.push_back({i, f, FromPeer(from, f)});
+                    transfers.push_back({i, f, FromPeer(from, f)});
                     continue;
                 }
                 const bool up = m_OriginReads < m_Faults.m_OriginDiesAt;
                 m_OriginReads += up ? 1 : 0;
-                m_Reads[f.m_Chunk] += up ? 1 : 0;
-                landings.push_back({i, f, up ? ChunkOutcome_Good : ChunkOutcome_Failed});
+                m_OriginReadsByChunk[f.m_Chunk] += up ? 1 : 0;
+                transfers.push_back({i, f, up ? ChunkOutcome_Good : ChunkOutcome_Failed});
             }
         }
         m_Now += milliseconds(10);
         for (const size_t from : m_Uploading)
             m_Boxes[from]->OnUploadDone(kChunkSizeMin, true);
         m_Uploading.clear();
-        for (const Landing& l : landings)
+        for (const Transfer& l : transfers)
         {
             m_Boxes[l.m_Box]->OnChunk(l.m_Fetch.m_Chunk, l.m_Fetch.m_Peer, l.m_Outcome, m_Now);
             if (l.m_Outcome != ChunkOutcome_Good)
@@ -114,7 +114,7 @@
         m_Dead[i] = true;
         for (size_t j = 0; j < m_Boxes.size(); j++)
         {
-            m_Boxes[j]->OnMemberGone(m_Names[i], true);
+            m_Boxes[j]->OnMemberDead(m_Names[i], true);
             if (Neighbours(i, j))
                 m_Boxes[j]->OnPeerDown(m_Names[i]);
         }
@@ -128,7 +128,7 @@
             bool done = true;
             for (size_t i = 0; i < m_Boxes.size(); i++)
             {
-                if (m_Faults.m_Dying.contains(i) && !m_Dead[i] && m_Boxes[i]->HaveCount() * 2 > m_Manifest->m_ChunkCount)
+                if (m_Faults.m_DyingBoxes.contains(i) && !m_Dead[i] && m_Boxes[i]->HaveCount() * 2 > m_Manifest->m_ChunkCount)
                     Kill(i);
                 done = done && (m_Dead[i] || m_Boxes[i]->Complete());
             }
@@ -146,16 +146,16 @@
     std::vector<std::unique_ptr<Exchange>> m_Boxes;
     std::vector<bool>                      m_Dead;
     std::vector<size_t>                    m_Uploading;
-    std::vector<uint32_t>                  m_Reads; // origin reads by chunk
+    std::vector<uint32_t>                  m_OriginReadsByChunk; // origin reads by chunk
     uint32_t                               m_OriginReads = 0;
     uint32_t                               m_OverBudget  = 0;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(undisturbed_copy_reads_the_origin_once)
+BOOST_AUTO_TEST_CASE(copy_without_faults_reads_each_chunk_from_the_origin_once)
 {
-    ALDERVALE_PROPERTY("one copy from the origin, all complete, uploads within budget",
+    ALDERVALE_PROPERTY("one copy from the origin, all boxes complete, uploads within budget",
                        [](uint64_t seed)
                        {
                            const size_t   boxes  = *rc::gen::inRange<size_t>(1, 20);
@@ -175,36 +175,36 @@
         BOOST_CHECK_EQUAL(box->BytesFromOrigin(), 10 * kChunkSizeMin);
 }
 
-BOOST_AUTO_TEST_CASE(an_origin_that_takes_few_connections_is_read_by_few_members)
+BOOST_AUTO_TEST_CASE(only_primary_fetchers_read_from_the_origin)
 {
-    constexpr size_t   kSharers = 5;
-    constexpr uint32_t kChunks  = 60;
+    constexpr size_t   kPrimaryFetchers = 5;
+    constexpr uint32_t kChunks          = 60;
     ExchangeConfig     cfg;
-    cfg.m_OriginSharers = kSharers;
+    cfg.m_PrimaryFetchers = kPrimaryFetchers;
     FakeFleet fleet(17, kChunks, {}, 7, cfg);
     BOOST_REQUIRE(fleet.Run(20'000));
-    size_t readers = 0;
+    size_t fetchers = 0;
     for (const auto& box : fleet.m_Boxes)
     {
-        readers += box->BytesFromOrigin() > 0 ? 1 : 0;
+        fetchers += box->BytesFromOrigin() > 0 ? 1 : 0;
         if (box->BytesFromOrigin() > 0)
-            BOOST_CHECK_EQUAL(box->BytesFromOrigin(), kChunks / kSharers * kChunkSizeMin);
+            BOOST_CHECK_EQUAL(box->BytesFromOrigin(), kChunks / kPrimaryFetchers * kChunkSizeMin);
     }
-    BOOST_TEST(readers == kSharers);
+    BOOST_TEST(fetchers == kPrimaryFetchers);
     BOOST_TEST(fleet.m_OriginReads == kChunks);
 }
 
-BOOST_AUTO_TEST_CASE(members_behind_the_sharers_step_in_when_these_are_silent)
+BOOST_AUTO_TEST_CASE(other_members_take_over_when_the_primary_fetchers_fetch_nothing)
 {
     constexpr uint32_t kChunks = 20;
     const auto         m       = MakeTestManifest(kChunks);
     ExchangeConfig     cfg;
-    cfg.m_OriginSharers = 2;
-    cfg.m_OriginRanks   = 64;
+    cfg.m_PrimaryFetchers        = 2;
+    cfg.m_OriginFetchersPerChunk = 64;
     std::vector<std::string> members;
     for (int i = 0; i < 9; i++)
         members.push_back("box-" + std::to_string(i));
-    for (const std::string& self : members) // alone: nobody else is heard of
+    for (const std::string& self : members) // each member alone: it has no neighbours
     {
         Exchange  x(m, cfg, members, self, {});
         TimePoint now{};
@@ -220,7 +220,7 @@
 
 BOOST_AUTO_TEST_CASE(copy_completes_under_deaths_and_corruption_within_the_origin_cap)
 {
-    ALDERVALE_PROPERTY("all that live complete; no chunk is read from the origin beyond the cap",
+    ALDERVALE_PROPERTY("all live boxes complete; no chunk is read from the origin more often than the cap allows",
                        [](uint64_t seed)
                        {
                            Faults faults;
@@ -228,18 +228,18 @@
                            faults.m_Fail      = 0.05;
                            const size_t boxes = *rc::gen::inRange<size_t>(6, 16);
                            for (size_t k = 0; k < 2; k++)
-                               faults.m_Dying.insert(*rc::gen::inRange<size_t>(0, boxes));
+                               faults.m_DyingBoxes.insert(*rc::gen::inRange<size_t>(0, boxes));
                            FakeFleet fleet(boxes, *rc::gen::inRange<uint32_t>(4, 60), faults, seed);
                            RC_ASSERT(fleet.Run(60'000));
-                           // Rank counts only live members, so each death lets one more member read a chunk.
-                           for (const uint32_t reads : fleet.m_Reads)
-                               RC_ASSERT(reads <= ExchangeConfig{}.m_OriginRanks + faults.m_Dying.size());
+                           // Only live members count for the rank, so each death lets one more member read a chunk.
+                           for (const uint32_t reads : fleet.m_OriginReadsByChunk)
+                               RC_ASSERT(reads <= ExchangeConfig{}.m_OriginFetchersPerChunk + faults.m_DyingBoxes.size());
                        });
 }
 
-BOOST_AUTO_TEST_CASE(one_copy_out_is_enough_when_the_origin_dies)
+BOOST_AUTO_TEST_CASE(copy_completes_when_the_origin_fails_after_one_copy)
 {
-    ALDERVALE_PROPERTY("the copy completes from peers after the origin gave each chunk once",
+    ALDERVALE_PROPERTY("the copy completes from neighbours after the origin sent each chunk once",
                        [](uint64_t seed)
                        {
                            const uint32_t chunks = *rc::gen::inRange<uint32_t>(1, 60);
@@ -251,26 +251,26 @@
                        });
 }
 
-BOOST_AUTO_TEST_CASE(corrupt_sender_is_set_aside)
+BOOST_AUTO_TEST_CASE(neighbour_that_sends_corrupt_chunks_is_excluded)
 {
     const ManifestPtr m = MakeTestManifest(8);
     Exchange          x(m, {}, {"a", "b"}, "c", {});
     x.OnPeerUp("a", true);
     x.OnHave("a", {}, true);
     TimePoint now{};
-    for (unsigned k = 0; k < ExchangeConfig{}.m_CorruptMax; k++)
+    for (unsigned k = 0; k < ExchangeConfig{}.m_ExcludeCorruptMin; k++)
     {
         const std::vector<Fetch> fetches = x.Next(now);
         BOOST_REQUIRE_EQUAL(fetches.size(), 1u);
         x.OnChunk(fetches[0].m_Chunk, "a", ChunkOutcome_Corrupt, now);
     }
-    BOOST_CHECK_EQUAL(x.SetAside(), 1u);
+    BOOST_CHECK_EQUAL(x.ExcludedPeers(), 1u);
     BOOST_CHECK(x.Next(now).empty());
-    x.OnHave("a", {}, true); // its word no longer counts
+    x.OnHave("a", {}, true); // announcements of an excluded neighbour are ignored
     BOOST_CHECK(x.Next(now + seconds(10)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(rare_corruption_sets_nobody_aside)
+BOOST_AUTO_TEST_CASE(rare_corruption_excludes_no_neighbour)
 {
     const ManifestPtr m = MakeTestManifest(100);
     Exchange          x(m, {}, {"a", "b"}, "c", {});
@@ -279,11 +279,11 @@
     for (int k = 0; !x.Complete(); k++)
         for (const Fetch& f : x.Next({}))
             x.OnChunk(f.m_Chunk, "a", k % 10 == 9 ? ChunkOutcome_Corrupt : ChunkOutcome_Good, {});
-    BOOST_CHECK_EQUAL(x.SetAside(), 0u);
+    BOOST_CHECK_EQUAL(x.ExcludedPeers(), 0u);
 }
 
-// Found by the property below it: holders that had spent their budget refused for ever, and nobody asked urgently.
-BOOST_AUTO_TEST_CASE(spent_holders_are_asked_urgently_when_no_other_is_left)
+// Guards against a deadlock: all holders of a chunk refuse as over budget, and the box never marks its request as urgent.
+BOOST_AUTO_TEST_CASE(holders_over_budget_get_urgent_requests_when_no_other_is_left)
 {
     const ManifestPtr m = MakeTestManifest(1);
     Exchange          x(m, {}, {"a", "b"}, "c", {});
@@ -297,14 +297,14 @@
         const std::vector<Fetch> f = x.Next({});
         BOOST_REQUIRE_EQUAL(f.size(), 1u);
         BOOST_CHECK(!f[0].m_Urgent);
-        x.OnChunk(0, f[0].m_Peer, ChunkOutcome_Spent, {});
+        x.OnChunk(0, f[0].m_Peer, ChunkOutcome_OverBudget, {});
     }
     const std::vector<Fetch> last = x.Next({});
     BOOST_REQUIRE_EQUAL(last.size(), 1u);
     BOOST_CHECK(last[0].m_Urgent);
 }
 
-BOOST_AUTO_TEST_CASE(silent_neighbour_is_left_alone_and_another_asked)
+BOOST_AUTO_TEST_CASE(unresponsive_neighbour_is_paused_and_another_gets_the_request)
 {
     const ManifestPtr m = MakeTestManifest(1);
     Exchange          x(m, {}, {"a", "b"}, "c", {});
@@ -321,8 +321,9 @@
     BOOST_CHECK_NE(second[0].m_Peer, first[0].m_Peer);
 }
 
-// Seen on trouble-2 (seed 801153320391) of the bench: one box froze while only it had some chunks, and nobody went on for 8 s.
-BOOST_AUTO_TEST_CASE(what_only_a_frozen_neighbour_has_is_fetched_elsewhere)
+// Guards against a stall of 8 s (scenario trouble-2, seed 801153320391): a box freezes while it is the only holder of some chunks, and the
+// others wait for it instead of reading them from the origin.
+BOOST_AUTO_TEST_CASE(chunks_that_only_a_frozen_neighbour_has_are_fetched_from_the_origin)
 {
     const ManifestPtr m = MakeTestManifest(4);
     ExchangeConfig    cfg;
@@ -340,18 +341,18 @@
     BOOST_TEST(x.Complete());
 }
 
-BOOST_AUTO_TEST_CASE(each_chunk_is_imported_into_a_data_centre_by_one_box_and_by_the_next_only_after_a_while)
+BOOST_AUTO_TEST_CASE(each_chunk_is_imported_by_one_box_of_a_data_centre_and_by_the_next_only_after_a_delay)
 {
     const ManifestPtr                      m     = MakeTestManifest(12);
-    const std::vector<std::string>         here  = {"a", "b", "c"};
+    const std::vector<std::string>         local = {"a", "b", "c"};
     const ExchangeConfig                   cfg   = {};
     const TimePoint                        start = TimePoint{} + seconds(1);
     std::map<uint32_t, int>                asked;
     std::vector<std::unique_ptr<Exchange>> boxes;
-    for (const std::string& name : here)
+    for (const std::string& name : local)
     {
         boxes.push_back(std::make_unique<Exchange>(m, cfg, std::vector<std::string>{"far"}, name, std::vector<uint32_t>()));
-        boxes.back()->SetImporters(here);
+        boxes.back()->SetImporters(local);
         boxes.back()->OnPeerUp("far", false);
         boxes.back()->OnHave("far", {}, true);
     }
@@ -369,11 +370,11 @@
     BOOST_TEST(asked.size() == 12u);
     for (const auto& [chunk, n] : asked)
         BOOST_TEST(n == 1);
-    ask(*boxes[0], start + 2 * cfg.m_ImportPerRank); // the others' chunks never came here: the next in order steps in
+    ask(*boxes[0], start + 2 * cfg.m_ImportRankDelay); // the other boxes never announced their chunks: the next in order imports them
     BOOST_TEST(boxes[0]->Complete());
 }
 
-BOOST_AUTO_TEST_CASE(urgent_request_passes_the_upload_budget)
+BOOST_AUTO_TEST_CASE(urgent_request_is_served_beyond_the_upload_budget)
 {
     const ManifestPtr m = MakeTestManifest(4);
     Exchange          x(m, {}, {"a"}, "a", {0, 1, 2, 3});
@@ -382,18 +383,18 @@
         BOOST_REQUIRE_EQUAL(x.AdmitUpload(kChunkSizeMin, false), ChunkOutcome_Good);
         x.OnUploadDone(kChunkSizeMin, true);
     }
-    BOOST_CHECK_EQUAL(x.AdmitUpload(kChunkSizeMin, false), ChunkOutcome_Spent);
+    BOOST_CHECK_EQUAL(x.AdmitUpload(kChunkSizeMin, false), ChunkOutcome_OverBudget);
     BOOST_CHECK_EQUAL(x.AdmitUpload(kChunkSizeMin, true), ChunkOutcome_Good);
 }
 
-BOOST_AUTO_TEST_CASE(staging_takes_only_verified_bytes_within_its_bound)
+BOOST_AUTO_TEST_CASE(staging_stores_only_verified_bytes_within_its_limit)
 {
     const ManifestPtr m = MakeTestManifest(4);
     Staging           small(2 * kChunkSizeMin);
     const Status      refused = small.Reserve(*m);
     BOOST_REQUIRE(!refused);
     BOOST_CHECK_EQUAL(refused.error().m_Code, ErrorCode_Limited);
-    BOOST_CHECK_EQUAL(small.Reserved(), 0u);
+    BOOST_CHECK_EQUAL(small.ReservedBytes(), 0u);
 
     Staging staging(4 * kChunkSizeMin);
     BOOST_REQUIRE(staging.Reserve(*m));
@@ -401,7 +402,7 @@
     BOOST_CHECK(!staging.Put(ChunkDigest(*m, 0), wrong));
     BOOST_CHECK(!staging.Has(ChunkDigest(*m, 0)));
     staging.Release(*m);
-    BOOST_CHECK_EQUAL(staging.Reserved(), 0u);
+    BOOST_CHECK_EQUAL(staging.ReservedBytes(), 0u);
 }
 
 BOOST_AUTO_TEST_CASE(versions_share_equal_chunks)
@@ -418,12 +419,12 @@
     Staging             staging(9 * kChunkSizeMin);
     BOOST_REQUIRE(staging.Reserve(*ma));
     BOOST_REQUIRE(staging.Reserve(*mb)); // needs one chunk more, not eight
-    BOOST_CHECK_EQUAL(staging.Reserved(), 9 * kChunkSizeMin);
+    BOOST_CHECK_EQUAL(staging.ReservedBytes(), 9 * kChunkSizeMin);
     staging.Release(*ma);
-    BOOST_CHECK_EQUAL(staging.Reserved(), 8 * kChunkSizeMin);
+    BOOST_CHECK_EQUAL(staging.ReservedBytes(), 8 * kChunkSizeMin);
 }
 
-BOOST_AUTO_TEST_CASE(of_two_neighbours_the_one_whose_queue_is_shorter_is_asked)
+BOOST_AUTO_TEST_CASE(neighbour_with_the_shorter_upload_queue_gets_the_request)
 {
     const ManifestPtr m = MakeTestManifest(8);
     ExchangeConfig    cfg;
@@ -438,8 +439,8 @@
             x.OnPeerUp(peer, true);
             x.OnHave(peer, all, true);
         }
-        x.OnWaited(busy, milliseconds(200), now);
-        x.OnWaited("unknown", milliseconds(200), now);
+        x.OnUploadQueueWait(busy, milliseconds(200), now);
+        x.OnUploadQueueWait("unknown", milliseconds(200), now);
         const auto fetches = x.Next(now);
         BOOST_REQUIRE(fetches.size() == 1u);
         BOOST_TEST(fetches[0].m_Peer != busy);
