--- a/src/request/direct_attempt.cpp
+++ b/src/request/direct_attempt.cpp
@@ -202,7 +202,7 @@
     m_Limits.OnSent(attempt.m_Server, now);
     attempt.m_Stream = std::move(sent.value());
     LogEvent(Event_RequestRetried,
-             {{"id", call.m_Caller.m_Id}, {"server", attempt.m_Server.m_Id}, {"why", "kept connection was closed"}, {"events", call.m_EventsSent}});
+             {{"id", call.m_Caller.m_Id}, {"server", attempt.m_Server.m_Id}, {"why", "kept connection ended"}, {"events", call.m_EventsSent}});
     co_return true;
 }
 
--- a/src/request/direct_place.cpp
+++ b/src/request/direct_place.cpp
@@ -192,7 +192,7 @@
         call.m_StalledAttempts.empty()) // with stalled attempts the request isn't refused, so its caller won't retry
         m_RetryEstimate.OnRefused(Now());
     if (!server)
-        call.m_FailureText = call.m_Choice.m_Candidates == 0 ? "no server is available" : "no server can answer in time";
+        call.m_FailureText = call.m_Choice.m_Candidates == 0 ? "no server can take it" : "no server would answer in time";
     co_return server;
 }
 
--- a/src/request/direct_serve.cpp
+++ b/src/request/direct_serve.cpp
@@ -164,7 +164,7 @@
     call.m_LastEventId = call.m_Caller.m_ResumeAfter;
     call.m_Routes      = m_World.m_Routes;
     if (!call.m_Routes || !m_World.m_ServerListRead)
-        return Refuse(call, 503, "declarations are not loaded yet", kNotReadyRetryAfter);
+        return Refuse(call, 503, "declarations not known yet", kNotReadyRetryAfter);
     call.m_Route = call.m_Routes->FindRoute(call.m_Caller.m_Host, call.m_Request.Path());
     if (call.m_Route == nullptr)
         return Deny(call, 404, "no route");
@@ -178,7 +178,7 @@
     if (call.m_Service == nullptr)
         return Refuse(call, 503, "route names a service that isn't declared", kNotReadyRetryAfter);
     if (CheckBlocked(call, call.m_StartedAt))
-        return Refuse(call, 503, "request is blocked because it crashed servers", kBlockedRetryAfter);
+        return Refuse(call, 503, "servers crash under this request", kBlockedRetryAfter);
     const Duration  limit = std::min(call.m_Route->m_Timeout, call.m_Caller.m_Remaining.value_or(call.m_Route->m_Timeout));
     const TimePoint begun = call.m_Request.m_BegunAt != TimePoint{} ? call.m_Request.m_BegunAt : call.m_StartedAt;
     call.m_Deadline       = begun + limit; // a slow upload of the body counts against the deadline
