--- a/src/request/return_guess.h
+++ b/src/request/return_guess.h
@@ -1,7 +1,7 @@
 // aldervale: estimates whether an attempt is a retry by a caller that was refused before
 //
 // Pure logic without I/O or clocks. Input: the times until callers' deadlines, refusals and times. Output: an estimate. No header says that a
-// caller was refused before, perhaps by another router. Where all callers of a route start with the route's time limit, one with less time left
+// caller was refused before, perhaps by another router. Where all callers of a route start with the route's timeout, one with less time left
 // is a retry. Where callers have limits of their own, less time says nothing, and first attempts that are mistaken for retries are neither
 // counted nor held to the latency objective.
 //
